--- a/beechslip/budgets/__init__.py
+++ b/beechslip/budgets/__init__.py
@@ -1,1 +1,4 @@
-"""Fleet-wide limits divided among proxies, and divided anew as they come and go, never summing to more. Pure."""
+"""Fleet-wide limits divided among the proxies.
+
+The parts are divided anew as proxies come and go, and never sum to more than the limit.
+"""
--- a/beechslip/budgets/floors.py
+++ b/beechslip/budgets/floors.py
@@ -1,4 +1,4 @@
-"""The floors of one proxy while the declared set of the fleet, or of its zone, changes. Pure."""
+"""The floors of one proxy while the declared members of the fleet, or of its zone, change. No I/O."""
 
 from __future__ import annotations
 
@@ -7,55 +7,67 @@
 
 from beechslip.budgets.limit import FleetLimit
 
-MAX_DRIFT = 0.2  # the most that a file may name
-_NEVER_MS = -1e18
+MAX_DRIFT_FRACTION = 0.2  # the largest clock drift that a configuration file may state
+_LONG_AGO_MS = -1e18
 
 
 @dataclass(frozen=True, slots=True)
-class DeclaredSet:
-    """How many members are declared, how many were ``before`` while the set changes (else 0), and how many of them
-    are in this proxy's zone (0: unknown)."""
+class DeclaredMembers:
+    """How many members the fleet declares.
+
+    ``members_before`` is the number before the change while the declared set changes, else 0. ``zone_members`` is how
+    many of the members are in this proxy's zone (0: unknown).
+    """
 
     members: int
-    before: int = 0
+    members_before: int = 0
     zone_members: int = 0
 
 
-class Floors:
-    """What member ``number`` has by right. A floor that shrinks does so at once; one that grows waits until what
-    others have lent of their larger ones is back."""
+class MemberFloors:
+    """The floors of member ``number``, which it may spend without a grant.
+
+    A floor that shrinks does so at once. A floor that grows does so only after the loans that other members made of
+    their larger floors have ended.
+    """
 
-    def __init__(self, number: int, declared: DeclaredSet) -> None:
-        """``declared``: the set that the proxy starts with; no change is under way for its floors."""
+    def __init__(self, number: int, declared: DeclaredMembers) -> None:
+        """``declared``: the declared members at the start of the proxy. No change is under way for its floors."""
         self._number = number
         self.declared = declared
-        self._previous = declared  # before the last change
-        self._changed_ms = _NEVER_MS
+        self._previous = declared  # the declared members before the last change
+        self._changed_ms = _LONG_AGO_MS
 
-    def declare(self, now_ms: float, declared: DeclaredSet) -> None:
-        """Go by another declared set. While it changes, the zone's floors go by the larger of its two numbers, as
-        :meth:`FleetLimit.floor` does for the whole fleet."""
-        if declared.before:
+    def declare(self, now_ms: float, declared: DeclaredMembers) -> None:
+        """Use other declared members from now on.
+
+        While the set changes, the zone's floors are computed from the larger of its two numbers, as
+        :meth:`FleetLimit.floor` does for the whole fleet.
+        """
+        if declared.members_before:
             zone_members = max(declared.zone_members, self.declared.zone_members)
-            declared = DeclaredSet(declared.members, declared.before, zone_members)
+            declared = DeclaredMembers(declared.members, declared.members_before, zone_members)
         if declared != self.declared:
             self._previous = self.declared
             self._changed_ms = now_ms
             self.declared = declared
 
     def zone_members(self, now_ms: float, limits: Iterable[FleetLimit]) -> int:
-        """Proxies of this zone that floors are divided among now; ``limits`` are all that are divided."""
+        """Return among how many proxies of this zone floors are divided now.
+
+        ``limits`` are all limits that are divided.
+        """
         current = self.declared.zone_members
         return max(current, self._previous.zone_members) if self._is_changing(now_ms, limits) else current
 
     def floor(self, now_ms: float, limit: FleetLimit, limits: Iterable[FleetLimit]) -> float:
-        """This proxy's floor of ``limit``, in spendings; ``limits`` are all that are divided."""
-        floor = limit.floor(self.declared.members, self.declared.before, self._number)
+        """Return this proxy's floor of ``limit``, in spendings. ``limits`` are all limits that are divided."""
+        floor = limit.floor(self.declared.members, self.declared.members_before, self._number)
         if self._is_changing(now_ms, limits):
-            floor = min(floor, limit.floor(self._previous.members, self._previous.before, self._number))
+            floor = min(floor, limit.floor(self._previous.members, self._previous.members_before, self._number))
         return floor
 
     def _is_changing(self, now_ms: float, limits: Iterable[FleetLimit]) -> bool:
-        """Whether something of a larger floor from before the last change may still be lent or occupied."""
+        """Return whether a part of a larger floor from before the last change may still be lent or occupied."""
         wait_ms = max((limit.loan_ms() + limit.occupancy_ms() for limit in limits), default=0.0)
-        return now_ms < self._changed_ms + wait_ms * (1.0 + MAX_DRIFT)
+        return now_ms < self._changed_ms + wait_ms * (1.0 + MAX_DRIFT_FRACTION)
--- a/beechslip/budgets/health_check.py
+++ b/beechslip/budgets/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks that wait for a token of the fleet's rate."""
+"""Health checks that wait for a token of the fleet-wide rate."""
 
 from __future__ import annotations
 
@@ -8,45 +8,51 @@
 
 from beechslip.core.model import AttemptResult, Backend
 
-RETRY_S = 0.05  # until a refused check asks again
+RETRY_DELAY_S = 0.05  # before a refused check asks again
 
 
 class GatedHealthChecker(Protocol):
-    """A health checker that asks before its first byte, and answers "moot" if that is refused."""
+    """A health checker that asks for permission before its first byte.
+
+    If that is refused, it returns the result "moot".
+    """
 
     async def health_check(self, backend: Backend, may_start: Callable[[], bool]) -> AttemptResult:
-        """Check ``backend``, if ``may_start`` allows the first byte."""
+        """Check ``backend`` if ``may_start`` allows the first byte."""
         ...
 
     def follow(self, backends: Mapping[str, Backend]) -> None:
-        """Go by another endpoint list."""
+        """Use the backends of another endpoint list."""
         ...
 
 
 class HealthCheckGate(Protocol):
-    """What allows a health check: :class:`beechslip.budgets.part.BudgetPart`."""
+    """What allows a health check, such as :class:`beechslip.budgets.part.BudgetPart`."""
 
     def may_health_check(self) -> bool:
-        """Whether one may start now; it counts as started, if so."""
+        """Return whether a health check may start now. If so, it counts as started."""
         ...
 
 
 class BudgetedHealthChecker:
-    """The engine's ``HealthChecker``: a check waits for its token, however long; the floor's rate brings one."""
+    """A ``HealthChecker`` for the engine whose checks wait until they get a token.
+
+    The wait has no limit. The floor of the rate supplies a token in the end.
+    """
 
     def __init__(self, inner: GatedHealthChecker, gate: HealthCheckGate) -> None:
-        """Checks are made by ``inner`` when ``gate`` allows them."""
+        """``inner`` makes the health checks when ``gate`` allows them."""
         self._inner = inner
         self._gate = gate
 
     def follow(self, backends: Mapping[str, Backend]) -> None:
-        """Go by another endpoint list."""
+        """Use the backends of another endpoint list."""
         self._inner.follow(backends)
 
     async def health_check(self, backend: Backend) -> AttemptResult:
-        """The result of a check of ``backend``, made once a token is there."""
+        """Check ``backend`` once a token is available, and return the result."""
         while True:
             ended = await self._inner.health_check(backend, self._gate.may_health_check)
             if ended.result != "moot":
                 return ended
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
--- a/beechslip/budgets/settings.py
+++ b/beechslip/budgets/settings.py
@@ -1,4 +1,4 @@
-"""The table ``budgets`` of ``deploy/fleet.toml``; what can't be divided safely is refused by name."""
+"""The table ``budgets`` of ``deploy/fleet.toml``. Values that can't be divided safely are rejected by name."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 Role = Literal["origin", "hub", "cache"]
 
-AMOUNTS = (
+AMOUNT_KEYS = (
     "retries_per_s",
     "retry_burst",
     "probes_per_s",
@@ -26,22 +26,24 @@
     "cache_bears",
     "hub_bears",
 )
-KEYS = ("enabled", "grant_ms", "floor_share", "travel_ms", "mean_ms", "fill_ms", *AMOUNTS)
-RATES = (("retries_per_s", "retry_burst"), ("probes_per_s", "probe_burst"))  # each with its burst
+TABLE_KEYS = ("enabled", "grant_ms", "floor_share", "travel_ms", "mean_ms", "fill_ms", *AMOUNT_KEYS)
+# Pairs of a rate and its burst.
+RATE_AND_BURST_KEYS = (("retries_per_s", "retry_burst"), ("probes_per_s", "probe_burst"))
 MAX_AMOUNT = 1e9
-BELOW_ZERO = -1e-9  # the bound of :meth:`Table.number` is exclusive: 0 is allowed
-MIN_TICKS_PER_GRANT = 8
+JUST_BELOW_ZERO = -1e-9  # allows 0, because the lower bound of ``Table.number`` is exclusive
+MIN_TICKS_PER_GRANT = 8  # of ``tick_ms``; with fewer, a grant could not be requested again before it ends
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetsConfig:
-    """The limits of the fleet, as the table names them; an amount of 0 is not divided by budgets.
-
-    ``grant_ms``: how long a grant lasts. ``floor_share``: the fraction that is divided by right. ``travel_ms``: how
-    much later a spending may reach a backend. ``mean_ms``: a request's mean sending time. ``drift``: the most that a
-    clock runs fast or slow, as a fraction. ``amounts`` by the keys of ``AMOUNTS``: rates are a second, ``*_fills``
-    and ``*_links`` numbers a backend, ``*_bears`` transfers at full pace that a warm backend can serve.
-    ``fill_ms``: the longest that a fill may last (0: as long as a class's deadline).
+    """The limits of the fleet as the table states them. A limit whose amount is 0 is not divided by budgets.
+
+    ``grant_ms``: how long a grant lasts. ``floor_share``: the fraction that is divided into floors. ``travel_ms``:
+    how much later than it was made a spending may reach a backend. ``mean_ms``: the mean sending time of a request.
+    ``drift``: how fast or slow a clock runs at most, as a fraction. ``amounts``: by the keys of ``AMOUNT_KEYS``;
+    rates are per second, ``*_fills`` and ``*_links`` are numbers for each backend, and ``*_bears`` are transfers at
+    full pace that a warm backend can serve. ``fill_ms``: how long a fill may last at most (0: as long as the longest
+    deadline of a class).
     """
 
     grant_ms: float
@@ -53,57 +55,75 @@
     fill_ms: float = 0.0
 
     def max_fills(self, role: Role) -> float:
-        """Fills in flight to or through one backend of ``role``; 0: not divided (as those of caches)."""
+        """Return the most fills in flight to or through one backend of ``role``.
+
+        0 means that they are not divided, as those of caches.
+        """
         return self.amounts.get(f"{role}_fills", 0.0)
 
     def max_connections(self, role: Role) -> float:
-        """Connections to one backend of ``role``; 0: not divided."""
+        """Return the most connections to one backend of ``role``. 0 means that they are not divided."""
         return self.amounts.get(f"{role}_links", 0.0)
 
     def warm_capacity(self, role: Role) -> float:
-        """Transfers at full pace that a warm backend of ``role`` can serve; 0: not divided (as the origin's)."""
+        """Return how many transfers at full pace a warm backend of ``role`` can serve.
+
+        0 means that its allowance in slow start is not divided, as the origin's.
+        """
         return self.amounts.get(f"{role}_bears", 0.0)
 
 
 def read_budgets(fleet: FleetConfig, leases: LeasesConfig | None) -> BudgetsConfig | None:
-    """The table's settings, ``None`` if it is not ``enabled``; ConfigError by name."""
-    table = Table(f"{fleet.file}: budgets", fleet.tables["budgets"], KEYS)
+    """Return the table's settings, or ``None`` if it is not ``enabled``.
+
+    Raises ConfigError with the name of a setting that can't be used.
+    """
+    table = Table(f"{fleet.file}: budgets", fleet.tables["budgets"], TABLE_KEYS)
     if not table.flag("enabled"):
         return None
     if leases is None:
-        raise table.fail("enabled", "is true, but the table leases is off: who divides the pools holds a lease")
-    amounts = {key: table.number(key, 0.0, least=BELOW_ZERO, most=MAX_AMOUNT) for key in AMOUNTS}
-    for rate, burst in RATES:
+        raise table.fail(
+            "enabled",
+            "is true, but the table leases is off: the member that divides the limits must hold a lease",
+        )
+    amounts = {key: table.number(key, 0.0, least=JUST_BELOW_ZERO, most=MAX_AMOUNT) for key in AMOUNT_KEYS}
+    for rate, burst in RATE_AND_BURST_KEYS:
         if amounts[rate] and not amounts[burst]:
             amounts[burst] = amounts[rate]
     floor_share = table.number("floor_share", 1.0)
     if floor_share > 1.0:
-        raise table.fail("floor_share", f"is {floor_share:g}: the floors would sum to that much of each limit")
+        raise table.fail(
+            "floor_share",
+            f"is {floor_share:g}: the floors would sum to that multiple of each limit, expected at most 1",
+        )
     grant_ms = table.number("grant_ms", 2000.0)
     if grant_ms < MIN_TICKS_PER_GRANT * fleet.tick_ms:
         raise table.fail(
             "grant_ms",
-            f"is {grant_ms:g}, under {MIN_TICKS_PER_GRANT} times tick_ms {fleet.tick_ms:g}: a grant could not "
-            "be requested again in time",
+            f"is {grant_ms:g}: expected at least {MIN_TICKS_PER_GRANT} times tick_ms {fleet.tick_ms:g}, so that "
+            "a grant can be requested again before it ends",
         )
     return BudgetsConfig(
         grant_ms=grant_ms,
         floor_share=floor_share,
-        travel_ms=table.number("travel_ms", 100.0, least=BELOW_ZERO),
+        travel_ms=table.number("travel_ms", 100.0, least=JUST_BELOW_ZERO),
         mean_ms=table.number("mean_ms", 100.0),
         drift=leases.tuning.drift,
         amounts=amounts,
-        fill_ms=table.number("fill_ms", 0.0, least=BELOW_ZERO),
+        fill_ms=table.number("fill_ms", 0.0, least=JUST_BELOW_ZERO),
     )
 
 
 def check_floors(config: BudgetsConfig, limits: Iterable[FleetLimit], members: int, table: str) -> None:
-    """ConfigError if a floor would hold less than one spending: a proxy that was suspended between its check and the
-    write would have no capacity of its own for a late one. ``table``: the file's name, for the message."""
+    """Raise ConfigError if a floor would hold less than one spending.
+
+    A proxy that was suspended between its check and the write would then have no capacity of its own for the late
+    write. ``table`` is the name of the file, for the message.
+    """
     for limit in limits:
-        if limit.floor_too_small(members):
+        if limit.is_floor_too_small(members):
             raise ConfigError(
                 f"{table}: budgets: {limit.name.split('@')[0]}: a floor of {config.floor_share:g} of "
                 f"{limit.burst or limit.amount:g} over {limit.zone_members or members} proxies is less "
-                f"than one spending ({limit.max_cost:.3g}): raise the limit or floor_share"
+                f"than one spending ({limit.max_cost:.3g}), raise the limit or floor_share"
             )
--- a/beechslip/duties/__init__.py
+++ b/beechslip/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Periodic duties divided among proxies: membership (SWIM), rendezvous assignment, leases, a schedule."""
+"""Periodic duties divided among proxies: membership (SWIM), rendezvous hashing, leases and a schedule."""
--- a/beechslip/duties/node.py
+++ b/beechslip/duties/node.py
@@ -1,26 +1,29 @@
-"""One proxy's part of the periodic duties: what to do now, what to report to the others, whom to yield to.
+"""One proxy's part of the periodic duties: what to do now, what to report to the others, and to whom to yield.
 
-Pure: no I/O, no clock of its own; times are float ms given by the caller.
+Does no I/O and has no clock of its own. Times are float ms given by the caller.
 
 - **Who does a duty.** Rendezvous hashing (:mod:`.assign`) over the members that the SWIM view
-  (:mod:`beechslip.fleet.membership`) takes as alive. The owner does the duty every ``interval_ms``. Standby ``r``
-  (1..k-1) does it only when nothing has been heard of it for ``interval_ms + r * takeover_ms``, or, when all before
-  it are suspect in its view, ``doubt_ms`` after it is due: long enough to hear of one that does it after all. A
-  suspect keeps its rank but takes no standby's place, so that however many die together there are standbys who live;
-  those past the ``k`` first, whom no report is sent to, step in after ``interval_ms + k * takeover_ms`` of silence.
-- **Reports.** Every duty done becomes a :class:`Report`, piggybacked on membership messages ``report_copies``
-  times (:mod:`.reports`). Any report of a duty, from anyone, resets its due time here.
-- **Leases against double owners.** Two members may both take themselves for owner while their views differ (a
-  pause, a partition, lost messages). When one hears the other's owner report, the higher rendezvous weight
-  wins, the same verdict on both sides; the loser grants the winner a lease of ``lease_ms`` during which it
-  does not do that duty as owner. A lease ends by time only, so a
-  winner that is gone stops costing coverage after ``lease_ms`` at most.
-- **Schedule.** Due duties are started most overdue first, within a token bucket of ``rate_per_s`` duties a
-  second and ``burst`` at once; each duty's due time has a fixed jitter, from its hash, of up to ``jitter`` of
-  the interval, so that the owners' health checks spread over the interval rather than come together.
-
-Bounds: tables by duty hold only listed duties (:meth:`DutyNode.set_duties` drops the rest); leases one per
-duty; the report queue one per duty.
+  (:mod:`beechslip.fleet.membership`) considers alive. The owner does the duty every ``interval_ms``. Standby ``r`` (1
+  to ``members_per_duty - 1``) does it only when nothing has been heard of it for ``interval_ms + r * takeover_ms``,
+  or, if all members ranked before it are suspect in its view, ``suspect_wait_ms`` after it is due. That is long
+  enough to hear of a member that does it after all. A suspect member keeps its rank but does not take a standby's
+  place, so that live standbys exist however many members die together. Members ranked after the first
+  ``members_per_duty``, to whom no report is sent, step in after ``interval_ms + members_per_duty * takeover_ms``
+  without a report.
+- **Reports.** Every duty that is done becomes a :class:`Report`, which is piggybacked on membership messages
+  ``report_copies`` times (:mod:`.reports`). Any report of a duty, from any member, resets its due time here.
+- **Leases against double owners.** Two members may both consider themselves the owner while their views differ (after
+  a pause, a partition or lost messages). When one of them receives the other's report as an owner, the higher
+  rendezvous weight wins, and both sides decide the same. The loser grants the winner a lease of ``lease_ms``, during
+  which the loser does not do that duty as owner. A lease only ends when its time is over, so a winner that has gone
+  leaves the duty undone by the loser for ``lease_ms`` at most.
+- **Schedule.** Due duties are started with the most overdue first, within a token bucket of ``rate_per_s`` duties per
+  second and ``burst`` at once. Each duty is due earlier by a fixed jitter, computed from its hash, of up to
+  ``jitter`` of the interval, so that the owners' health checks are spread over the interval instead of coming
+  together.
+
+Bounds: tables by duty contain only listed duties (:meth:`DutyNode.set_duties` drops the rest). There is at most one
+lease and one queued report for each duty.
 """
 
 from __future__ import annotations
@@ -29,79 +32,81 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-from beechslip.duties.assign import Assignment, weight
+from beechslip.duties.assign import DutyAssignment, rendezvous_weight
 from beechslip.duties.reports import ReportQueue
 from beechslip.duties.token_bucket import TokenBucket
 from beechslip.duties.tuning import DutyTuning
 from beechslip.fleet.membership import Membership
 from beechslip.fleet.messages import REPORT, Message, Report, Send, State
 
-NEVER_MS = -1e18  # a duty that was never heard of is long overdue
-NOT_DUE = -1.0
-FALLBACK_STAGGER_MS = 100.0  # between members past the standbys that step in after a long silence
-JITTER_STEPS = 1000  # a duty's jitter is one of so many fractions, by its hash
+NEVER_MS = -1e18  # the time of a duty never heard of, which makes it long overdue
+NOT_DUE_MS = -1.0
+FALLBACK_STAGGER_MS = 100.0  # between the members after the standbys that step in after a long silence
+JITTER_STEPS = 1000  # a duty's hash selects one of this many fractions as its jitter
 
 
 @dataclass(slots=True)
 class _Lease:
-    """What this member has granted: not to do a duty as owner until ``until_ms``."""
+    """The lease that this member has granted: until ``until_ms`` it does not do the duty as owner."""
 
     holder: str
     until_ms: float
 
 
-class _Place(NamedTuple):
-    """This member's rank for a duty (0: owner), and who is its owner."""
+class _DutyRank(NamedTuple):
+    """This member's rank for a duty (0: owner), and the duty's owner."""
 
     rank: int
     owner: str
 
 
 class DutyTick(NamedTuple):
-    """What is due: messages to send, and the duties to start now."""
+    """What is due: the messages to send, and the duties to start now."""
 
     sends: list[Send]
-    start: list[str]
+    duties_to_start: list[str]
 
 
-class DutyReceipt(NamedTuple):
-    """What follows from a message: answers to send, and the reports that were new."""
+class DutyMessageResult(NamedTuple):
+    """What follows from a message: the answers to send, and the reports that were new here."""
 
     sends: list[Send]
-    fresh: list[Report]
+    new_reports: list[Report]
 
 
 @dataclass
 class DutyNode:
-    """The duties of member ``membership.me``. Drive it with :meth:`tick`, :meth:`receive` and
-    :meth:`done`."""
+    """The duties of member ``membership.me``.
+
+    To be driven by :meth:`tick`, :meth:`receive` and :meth:`record_done`.
+    """
 
     membership: Membership
     duties: tuple[str, ...]
     tuning: DutyTuning = field(default_factory=DutyTuning)
 
     def __post_init__(self) -> None:
-        """Nothing is known of any duty yet, so each is overdue for its owner."""
+        """Start without knowledge of any duty, so that each duty is overdue for its owner."""
         tuning = self.tuning
         self.me = self.membership.me
-        self.last_done_ms: dict[str, float] = {}  # by duty: when it was last done by anyone, as far as we know
+        self.last_done_ms: dict[str, float] = {}  # by duty: when any member last did it, as far as this one knows
         self.latest_reports: dict[str, Report] = {}  # by duty
         self.leases: dict[str, _Lease] = {}
-        self.running: set[str] = set()
+        self.running_duties: set[str] = set()
         self.counts: dict[str, int] = {}
         self._reports = ReportQueue(tuning.report_copies, tuning.reports_per_message)
         self._bucket = TokenBucket(tuning.rate_per_s, tuning.burst, self.membership.now_ms)
-        self._assignment = Assignment((), (self.me,), tuning.k)
-        self._synced_version = -1  # the membership's version that ``_places`` follows from
-        self._places: dict[str, _Place] = {}  # by duty that this member is owner or standby of
+        self._assignment = DutyAssignment((), (self.me,), tuning.members_per_duty)
+        self._synced_version = -1  # the version of the membership from which ``_ranks`` was computed
+        self._ranks: dict[str, _DutyRank] = {}  # by duty of which this member is the owner or a standby
         self._jitter_ms: dict[str, float] = {}
-        self._outbox: list[Send] = []  # reports for standbys, sent with the next tick
+        self._outbox: list[Send] = []  # reports for standbys, to be sent with the next tick
         self.set_duties(self.duties)
 
-    # The list of duties ------------------------------------------------------------------------------------
+    # Duties and ranks --------------------------------------------------------------------------------------
 
     def set_duties(self, duties: Iterable[str]) -> None:
-        """A new list (backends listed or gone); what is known of unlisted duties is dropped."""
+        """Use another list of duties, and drop what is known of duties that are no longer listed."""
         self.duties = tuple(sorted(set(duties)))
         self._listed = set(self.duties)
         for table in (self.last_done_ms, self.latest_reports, self.leases):
@@ -111,32 +116,33 @@
         self._assignment.set_duties(self.duties)
         spread_ms = self.tuning.jitter * self.tuning.interval_ms
         self._jitter_ms = {
-            duty: (weight(duty, "jitter") % JITTER_STEPS) / JITTER_STEPS * spread_ms for duty in self.duties
+            duty: (rendezvous_weight(duty, "jitter") % JITTER_STEPS) / JITTER_STEPS * spread_ms
+            for duty in self.duties
         }
         self._synced_version = -1
 
     def rank(self, duty: str) -> int | None:
-        """0 if this member owns ``duty`` in its view, 1.. if it stands by, ``None`` if neither."""
-        self._sync()
-        place = self._places.get(duty)
-        return place.rank if place else None
+        """Return 0 if this member owns ``duty`` in its view, 1 or more if it is a standby, else ``None``."""
+        self._update_ranks()
+        duty_rank = self._ranks.get(duty)
+        return duty_rank.rank if duty_rank else None
 
-    def owned(self) -> list[str]:
-        """The duties that this member owns in its view, sorted by name."""
-        self._sync()
-        return sorted(duty for duty, place in self._places.items() if place.rank == 0)
+    def owned_duties(self) -> list[str]:
+        """Return the duties that this member owns in its view, sorted by name."""
+        self._update_ranks()
+        return sorted(duty for duty, duty_rank in self._ranks.items() if duty_rank.rank == 0)
 
-    def _alive(self, name: str) -> bool:
+    def _may_be_alive(self, name: str) -> bool:
         return self.membership.state_of(name) is not State.DEAD
 
-    def _sure(self, name: str) -> bool:
+    def _is_alive(self, name: str) -> bool:
         return self.membership.state_of(name) is State.ALIVE
 
-    def _ranked(self, duty: str) -> tuple[str, ...]:
-        return self._assignment.ranked(duty, self._alive, self._sure)
+    def _ranked_members(self, duty: str) -> tuple[str, ...]:
+        return self._assignment.ranked_members(duty, self._may_be_alive, self._is_alive)
 
-    def _sync(self) -> None:
-        """Follow the membership's view, if it has changed."""
+    def _update_ranks(self) -> None:
+        """Recompute the ranks if the membership's view has changed."""
         membership = self.membership
         if membership.version == self._synced_version:
             return
@@ -146,107 +152,120 @@
             self._assignment.add(name)
         for name in self._assignment.members - known:
             self._assignment.remove(name)
-        self._places = {}
+        self._ranks = {}
         for duty in self.duties:
-            ranked = self._ranked(duty)
+            ranked = self._ranked_members(duty)
             if self.me in ranked:
-                self._places[duty] = _Place(ranked.index(self.me), ranked[0])
+                self._ranks[duty] = _DutyRank(ranked.index(self.me), ranked[0])
 
-    # Time passing -------------------------------------------------------------------------------------------
+    # Schedule -----------------------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> DutyTick:
-        """Membership messages to send, and the duties to start now (each to be answered by :meth:`done`)."""
-        sends = [self._attach(send) for send in self.membership.tick(now_ms)] + self._outbox
+        """Return the membership messages to send and the duties to start now.
+
+        The caller calls :meth:`record_done` when a duty that was started has ended.
+        """
+        sends = [self._attach_reports(send) for send in self.membership.tick(now_ms)] + self._outbox
         self._outbox = []
         self._bucket.refill(now_ms)
-        self._sync()
-        start: list[str] = []
-        for duty in self._due(now_ms):
+        self._update_ranks()
+        duties_to_start: list[str] = []
+        for duty in self._due_duties(now_ms):
             if not self._bucket.take():
                 self._count("deferred")
                 break
-            self.running.add(duty)
-            start.append(duty)
+            self.running_duties.add(duty)
+            duties_to_start.append(duty)
         self._expire_leases(now_ms)
-        return DutyTick(sends, start)
+        return DutyTick(sends, duties_to_start)
 
-    def done(self, now_ms: float, duty: str, ok: bool) -> None:
-        """A duty that :meth:`tick` started has ended; its report goes out with the next messages."""
-        self.running.discard(duty)
+    def record_done(self, now_ms: float, duty: str, ok: bool) -> None:
+        """Record that a duty that :meth:`tick` started has ended. Its report goes out with the next messages."""
+        self.running_duties.discard(duty)
         if duty not in self._listed:
             return
         report = Report(duty, self.me, now_ms, ok, self.rank(duty) == 0)
         self.last_done_ms[duty] = max(self.last_done_ms.get(duty, now_ms), now_ms)
         self.latest_reports[duty] = report
         self._reports.add(report)
-        if duty in self._places:
+        if duty in self._ranks:
             self._report_to_standbys(report)
 
     def _report_to_standbys(self, report: Report) -> None:
-        """Straight to the standbys, which must not step in for a duty that was done; gossip is for the rest."""
+        """Send a report directly to the standbys, so that they do not step in for a duty that was done.
+
+        The other members get it by gossip.
+        """
         message = Message(REPORT, self.me, 0, reports=(report,))
-        for standby in self._ranked(report.duty):
-            if standby != self.me:  # more than once: a lost report costs a duplicate health check
+        for standby in self._ranked_members(report.duty):
+            if standby != self.me:  # sent more than once, because a lost report causes a duplicate health check
                 self._outbox += [Send(standby, message)] * self.tuning.report_sends
 
     # Messages -----------------------------------------------------------------------------------------------
 
-    def receive(self, now_ms: float, message: Message) -> DutyReceipt:
-        """Handle a message: membership first, then its reports; answers to send, and the reports new here
-        (for the caller to hand to the decision module as if its own health check had seen them)."""
-        sends = [self._attach(send) for send in self.membership.receive(now_ms, message)]
-        fresh: list[Report] = []
+    def receive(self, now_ms: float, message: Message) -> DutyMessageResult:
+        """Handle a message: first the membership's part, then its reports.
+
+        Returns the answers to send and the reports that were new here. The caller passes those to the routing module,
+        as if its own health check had produced them.
+        """
+        sends = [self._attach_reports(send) for send in self.membership.receive(now_ms, message)]
+        new_reports: list[Report] = []
         for report in message.reports:
             if report.duty not in self._listed or report.prober == self.me:
                 continue
             if report.owner:
-                self._contest(now_ms, report)
-            done_ms = min(report.at_ms, now_ms)  # a clock ahead of ours must not put a duty off
+                self._resolve_double_owner(now_ms, report)
+            done_ms = min(report.at_ms, now_ms)  # a sender's clock that is ahead must not delay a duty here
             if done_ms > self.last_done_ms.get(report.duty, -1.0):
                 self.last_done_ms[report.duty] = done_ms
                 self.latest_reports[report.duty] = report
-                fresh.append(report)
+                new_reports.append(report)
                 self._reports.add(report)
-        return DutyReceipt(sends, fresh)
+        return DutyMessageResult(sends, new_reports)
 
     # Decisions ----------------------------------------------------------------------------------------------
 
-    def _due(self, now_ms: float) -> list[str]:
-        """The duties due for this member, the most overdue first."""
+    def _due_duties(self, now_ms: float) -> list[str]:
+        """Return the duties that are due for this member, the most overdue first."""
         due: list[tuple[float, str]] = []
-        for duty, place in self._places.items():
-            if duty in self.running:
+        for duty, duty_rank in self._ranks.items():
+            if duty in self.running_duties:
                 continue
-            overdue_ms = self._overdue(now_ms, duty, place.rank, place.owner)
+            overdue_ms = self._overdue_ms(now_ms, duty, duty_rank.rank, duty_rank.owner)
             if overdue_ms >= 0:
                 due.append((overdue_ms, duty))
         return [duty for _, duty in sorted(due, reverse=True)]
 
-    def _overdue(self, now_ms: float, duty: str, rank: int, owner: str) -> float:
-        """ms by which ``duty`` is overdue for this member, of ``rank`` for it (negative: not due)."""
+    def _overdue_ms(self, now_ms: float, duty: str, rank: int, owner: str) -> float:
+        """Return by how many ms ``duty`` is overdue for this member of rank ``rank`` (negative: not due)."""
         tuning = self.tuning
-        since_ms = now_ms - self.last_done_ms.get(duty, NEVER_MS)
+        since_done_ms = now_ms - self.last_done_ms.get(duty, NEVER_MS)
         wait_ms = tuning.interval_ms - self._jitter_ms.get(duty, 0.0)
         if rank == 0:
             lease = self.leases.get(duty)
             if lease and lease.until_ms > now_ms:
-                return NOT_DUE  # another proved by doing it that it holds the duty, until the lease ends
-            return since_ms - wait_ms
-        sure_above = sum(self._sure(name) for name in self._ranked(duty)[:rank])
-        if sure_above == 0:
-            return since_ms - (wait_ms + tuning.doubt_ms)  # all before it are suspect
-        if rank >= tuning.k:
-            # The owner's reports go to the standbys before it, so it hears late: only a long silence counts.
-            stagger_ms = FALLBACK_STAGGER_MS * (rank - tuning.k)
-            return since_ms - (wait_ms + tuning.k * tuning.takeover_ms + stagger_ms)
-        return since_ms - (wait_ms + sure_above * tuning.takeover_ms)
-
-    def _contest(self, now_ms: float, report: Report) -> None:
-        """Another did ``report.duty`` as its owner. If this member thinks so of itself too, the higher weight
-        keeps it; the loser grants a lease."""
+                return NOT_DUE_MS  # another member does the duty until the lease ends
+            return since_done_ms - wait_ms
+        alive_before = sum(self._is_alive(name) for name in self._ranked_members(duty)[:rank])
+        if alive_before == 0:
+            return since_done_ms - (wait_ms + tuning.suspect_wait_ms)  # all members before this one are suspect
+        if rank >= tuning.members_per_duty:
+            # The owner's reports go directly to the standbys only. This member hears of the duty late, so it waits
+            # for a long silence.
+            stagger_ms = FALLBACK_STAGGER_MS * (rank - tuning.members_per_duty)
+            return since_done_ms - (wait_ms + tuning.members_per_duty * tuning.takeover_ms + stagger_ms)
+        return since_done_ms - (wait_ms + alive_before * tuning.takeover_ms)
+
+    def _resolve_double_owner(self, now_ms: float, report: Report) -> None:
+        """Handle a report by another member that did ``report.duty`` as its owner.
+
+        If this member also considers itself the owner, the one with the higher weight keeps the duty, and the other
+        one grants it a lease.
+        """
         if self.rank(report.duty) != 0:
             return
-        if weight(report.duty, report.prober) > weight(report.duty, self.me):
+        if rendezvous_weight(report.duty, report.prober) > rendezvous_weight(report.duty, self.me):
             self.leases[report.duty] = _Lease(report.prober, now_ms + self.tuning.lease_ms)
             self._count("yielded")
         else:
@@ -257,8 +276,11 @@
             if lease.until_ms <= now_ms:
                 del self.leases[duty]
 
-    def _attach(self, send: Send) -> Send:
-        """The message with reports piggybacked, unless it is full of updates, which are few at most times."""
+    def _attach_reports(self, send: Send) -> Send:
+        """Return the message with reports piggybacked.
+
+        It is returned unchanged if it is full of updates, which is rare.
+        """
         if not self._reports or len(send.message.updates) > self.membership.tuning.piggyback:
             return send
         return Send(send.to, replace(send.message, reports=self._reports.take()))
--- a/beechslip/duties/settings.py
+++ b/beechslip/duties/settings.py
@@ -1,22 +1,25 @@
-"""The table ``duties`` of ``deploy/fleet.toml``: health checks shared among proxies."""
+"""The table ``duties`` of ``deploy/fleet.toml``, for health checks shared among proxies."""
 
 from __future__ import annotations
 
 from beechslip.duties.tuning import DutyTuning
 from beechslip.fleet.settings import FleetConfig, Table
 
-KEYS = ("enabled", "interval_ms", "takeover_ms", "lease_ms", "standbys", "rate_per_s")
+TABLE_KEYS = ("enabled", "interval_ms", "takeover_ms", "lease_ms", "standbys", "rate_per_s")
 
 
 def read_duties(fleet: FleetConfig) -> DutyTuning | None:
-    """The table's settings, ``None`` if not ``enabled``; ConfigError by name if one can't be used."""
-    table = Table(f"{fleet.file}: duties", fleet.tables["duties"], KEYS)
+    """Return the table's settings, or ``None`` if it is not ``enabled``.
+
+    Raises ConfigError with the name of a setting that can't be used.
+    """
+    table = Table(f"{fleet.file}: duties", fleet.tables["duties"], TABLE_KEYS)
     if not table.flag("enabled"):
         return None
     return DutyTuning(
         interval_ms=table.number("interval_ms", 2000),
         takeover_ms=table.number("takeover_ms", 2000),
         lease_ms=table.number("lease_ms", 4000),
-        k=table.whole("standbys", 2, 0, 8) + 1,
+        members_per_duty=table.whole("standbys", 2, 0, 8) + 1,
         rate_per_s=table.number("rate_per_s", 50),
     )
--- a/beechslip/duties/shared.py
+++ b/beechslip/duties/shared.py
@@ -1,15 +1,15 @@
-"""Health checks shared among proxies, behind the engine's ``HealthChecker`` interface: decisions are unchanged.
+"""Health checks shared among proxies, behind the engine's ``HealthChecker`` interface.
 
-:func:`usable_report` is the pure rule; :class:`SharedHealthChecker` wraps the backend client's health checker with
-it:
+The routing module's decisions are unchanged. :func:`usable_report` is the rule, without I/O.
+:class:`SharedHealthChecker` wraps the backend client's health checker with it:
 
-- the module requests a health check as it always did; where another member checked that backend less than an
-  interval ago, its report answers, and no connection is made. The owner of a duty always checks itself.
-- a health check this proxy made, whether the module requested it or the duty schedule did, is reported to the
-  others through the duty node;
-- a report from another member reaches the module as an ``i.HealthCheckResult``, as its own health check would.
+- The module requests health checks as without sharing. If another member checked that backend less than an interval
+  ago, its report is the answer and no connection is made. The owner of a duty always makes the check itself.
+- A health check that this proxy made, requested by the module or started by the duty schedule, is reported to the
+  others through the duty node.
+- A report from another member reaches the module as an ``i.HealthCheckResult``, as its own health check would.
 
-The list of duties follows the backends that are listed (``follow``), so no state of a backend that went remains.
+The list of duties follows the listed backends (``follow``), so no state remains of a backend that has gone.
 """
 
 from __future__ import annotations
@@ -30,14 +30,15 @@
 log = logging.getLogger("beechslip.duties")
 
 
-OK: Final = "ok"  # results of a health check, as ``AttemptResult`` names them
-ERROR: Final = "error"
+# Results of a health check, named as in ``AttemptResult``.
+RESULT_OK: Final = "ok"
+RESULT_ERROR: Final = "error"
 
 
 def usable_report(node: DutyNode, duty: str, now_ms: float) -> Report | None:
-    """Another member's report of ``duty`` that may answer a health check requested at ``now_ms``, if there is one.
+    """Return another member's report of ``duty`` that may answer a health check requested at ``now_ms``, or ``None``.
 
-    Only a report younger than the interval, by another member, for a duty this member does not own.
+    It must be younger than the interval, made by another member, and of a duty that this member does not own.
     """
     report = node.latest_reports.get(duty)
     if report is None or report.prober == node.me or node.rank(duty) == 0:
@@ -47,12 +48,12 @@
 
 
 class SharedHealthChecker:
-    """A ``HealthChecker`` for the engine, which the duty schedule uses, too."""
+    """A ``HealthChecker`` for the engine that the duty schedule also uses."""
 
     def __init__(
         self, inner: HealthChecker, node: DutyNode, clock: Clock, counters: Counters, post: Callable[[object], None]
     ) -> None:
-        """``inner`` makes the health checks; ``post`` puts an event into the engine's queue."""
+        """``inner`` makes the health checks. ``post`` puts an event into the engine's queue."""
         self.node = node
         self._inner = inner
         self._clock = clock
@@ -61,65 +62,71 @@
         self._backends: dict[str, Backend] = {}
 
     def follow(self, backends: Mapping[str, Backend]) -> None:
-        """Make the listed backends the duties."""
+        """Use the listed backends as the duties."""
         self._backends = dict(backends)
         self.node.set_duties(tuple(self._backends))
         self._inner.follow(backends)
 
     async def health_check(self, backend: Backend) -> AttemptResult:
-        """Another member's fresh result, or else a health check by this proxy, which is reported."""
+        """Return another member's fresh result, or else make and report a health check."""
         report = usable_report(self.node, backend.name, self._clock.steady_ms())
         if report is not None:
             self._counters.add("probe.shared")
-            return AttemptResult(OK if report.ok else ERROR)
-        ended = await self._inner.health_check(backend)
-        self.node.done(self._clock.steady_ms(), backend.name, ended.result == OK)
-        return ended
+            return AttemptResult(RESULT_OK if report.ok else RESULT_ERROR)
+        outcome = await self._inner.health_check(backend)
+        self.node.record_done(self._clock.steady_ms(), backend.name, outcome.result == RESULT_OK)
+        return outcome
 
-    async def perform(self, duty: str) -> bool:
-        """A health check that the duty schedule starts; its result goes to the module like any other."""
+    async def perform_duty(self, duty: str) -> bool:
+        """Make a health check that the duty schedule starts, and return whether it succeeded.
+
+        Its result is posted to the module like that of any other check. Returns False if the backend is not listed.
+        """
         backend = self._backends.get(duty)
         if backend is None:
             return False
         began_ms = self._clock.steady_ms()
-        ended = await self._inner.health_check(backend)
-        self._counters.add(f"probe.{ended.result}")
+        outcome = await self._inner.health_check(backend)
+        self._counters.add(f"probe.{outcome.result}")
         took_s = to_seconds(self._clock.steady_ms() - began_ms)
-        self._post(i.HealthCheckResult(duty, ended.result, took_s, ended.report))
-        return ended.result == OK
+        self._post(i.HealthCheckResult(duty, outcome.result, took_s, outcome.report))
+        return outcome.result == RESULT_OK
 
     def on_report(self, report: Report) -> None:
-        """Another member's health check: to the module as if it were this one's."""
+        """Post another member's health check to the module, as if this proxy had made it."""
         if report.duty in self._backends:
             self._counters.add("probe.heard")
-            self._post(i.HealthCheckResult(report.duty, OK if report.ok else ERROR))
+            self._post(i.HealthCheckResult(report.duty, RESULT_OK if report.ok else RESULT_ERROR))
 
 
 class DutyPart:
-    """The duties as a part behind the peer socket: starts the health checks that the schedule names, and forwards
-    the reports of others. Owns its running health checks; ``stop`` cancels them, ``wait_closed`` awaits them."""
+    """The duties as a part behind the peer socket.
+
+    Starts the health checks that the schedule names, and forwards the reports of other members to the module. It owns
+    its running health checks: :meth:`stop` cancels them and :meth:`wait_closed` waits for them to end.
+    """
 
     kinds = MEMBERSHIP_KINDS
 
     def __init__(
         self,
-        shared: SharedHealthChecker,
+        health_checker: SharedHealthChecker,
         clock: Clock,
         counters: Counters,
         note: Callable[..., None] = lambda kind, **facts: None,
     ) -> None:
         """``note`` is called with each duty that starts."""
-        self.node = shared.node
-        self._shared = shared
+        self.node = health_checker.node
+        self._health_checker = health_checker
         self._clock = clock
         self._counters = counters
         self._note = note
         self._tasks: set[asyncio.Task[None]] = set()
 
     def tick(self, now_ms: float) -> list[Send]:
-        """Start the duties that are due; the messages to send."""
+        """Start the duties that are due, and return the messages to send."""
         due = self.node.tick(now_ms)
-        for duty in due.start:
+        for duty in due.duties_to_start:
             self._note("probe", name=duty, rank=self.node.rank(duty))
             task = asyncio.get_running_loop().create_task(self._run(duty))
             self._tasks.add(task)
@@ -127,29 +134,32 @@
         return due.sends
 
     def receive(self, now_ms: float, message: Message) -> list[Send]:
-        """Handle a membership message; the module hears of the reports that are new."""
-        receipt = self.node.receive(now_ms, message)
-        for report in receipt.fresh:
-            self._shared.on_report(report)
-        return receipt.sends
+        """Handle a membership message, pass its new reports to the module, and return the answers to send."""
+        message_result = self.node.receive(now_ms, message)
+        for report in message_result.new_reports:
+            self._health_checker.on_report(report)
+        return message_result.sends
 
     def stop(self, now_ms: float) -> list[Send]:
-        """Cancel the running health checks, and leave the membership; ``wait_closed`` awaits what is cancelled."""
+        """Cancel the running health checks, and return the messages that leave the membership.
+
+        :meth:`wait_closed` waits for the cancelled checks.
+        """
         for task in self._tasks:
             task.cancel()
         return self.node.membership.leave()
 
     async def wait_closed(self) -> None:
-        """Wait until all health checks that ``stop`` has cancelled have ended."""
+        """Wait until all health checks that :meth:`stop` has cancelled have ended."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _run(self, duty: str) -> None:
         ok = False
         try:
-            ok = await self._shared.perform(duty)
+            ok = await self._health_checker.perform_duty(duty)
         except Exception:
             self._counters.add("fault.duty")
-            log.exception("duty %s", duty)
+            log.exception("duty failed: duty=%s", duty)
         finally:
-            self.node.done(self._clock.steady_ms(), duty, ok)
+            self.node.record_done(self._clock.steady_ms(), duty, ok)
             self._counters.add("duties.done")
--- a/beechslip/duties/sim.py
+++ b/beechslip/duties/sim.py
@@ -1,12 +1,12 @@
-"""A fleet stand-in: many members' duty nodes on one settable clock, over a lossy, late, cut network.
+"""A simulated fleet: many members' duty nodes on one settable clock, over a network with faults.
 
-For tests and measurements of :mod:`beechslip.duties`; no sockets and no sleeps. Every random draw comes from
-one ``random.Random(seed)``, so a run replays exactly from its seed.
+For tests and measurements of :mod:`beechslip.duties`. It uses no sockets and does not sleep. Every random draw comes
+from one ``random.Random(seed)``, so a run replays exactly from its seed.
 
-Faults: message loss (``loss``, a fraction), lateness (each message ``delay_ms`` plus, for a
-fraction ``late_fraction``, ``late_ms`` more), deaths (:meth:`Fleet.kill`), pauses (:meth:`Fleet.pause`: the member
-neither ticks nor hears, and comes back with the view it had), partitions (:meth:`Fleet.cut`) and restarts
-with a new incarnation (:meth:`Fleet.restart`).
+The faults are message loss (``loss``, a fraction), late messages (each message takes ``delay_ms``, and a fraction
+``late_fraction`` of them up to ``late_ms`` more), deaths (:meth:`SimulatedFleet.kill`), pauses
+(:meth:`SimulatedFleet.pause`: the member neither ticks nor receives, and continues with the view it had), partitions
+(:meth:`SimulatedFleet.cut`) and restarts with a new incarnation (:meth:`SimulatedFleet.restart`).
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from beechslip.fleet.messages import Message, Send
 from beechslip.fleet.tuning import MembershipTuning
 
-EPOCH = 1_764_576_000_000  # incarnations are times of day in ms, and take as many bytes in a datagram
+FIRST_INCARNATION = 1_764_576_000_000  # a time of day in ms, as in production, for the same size of datagrams
 
 
 @dataclass
-class Net:
-    """The network's faults: fractions of messages lost and late; times in ms."""
+class NetworkFaults:
+    """The network's faults: fractions of messages that are lost and late; times in ms."""
 
     loss: float = 0.0
     delay_ms: float = 2.0
@@ -39,153 +39,156 @@
 
 
 @dataclass
-class Fleet:
-    """``size`` members named ``d000``.. and ``duty_count`` duties named ``box000``.."""
+class SimulatedFleet:
+    """``size`` members named from ``d000`` on, and ``duty_count`` duties named from ``box000`` on."""
 
     size: int
     duty_count: int
     seed: int = 1
-    net: Net = field(default_factory=Net)
+    network: NetworkFaults = field(default_factory=NetworkFaults)
     tuning: MembershipTuning = field(default_factory=MembershipTuning)
     duty_tuning: DutyTuning = field(default_factory=DutyTuning)
     tick_ms: float = 50.0
     duty_ms: float = 20.0
-    wire: bool = True  # carry each message through the codec, so that the 256-byte bound trims piggybacks
+    is_wire_encoded: bool = True  # encode each message, so that the 256-byte bound limits piggybacked data
 
     def __post_init__(self) -> None:
-        """Boot all members; their first ticks are spread at random over ``tick_ms``."""
+        """Start all members. Their first ticks are spread at random over ``tick_ms``."""
         self.rng = random.Random(self.seed)
-        self.now = 0.0
+        self.now_ms = 0.0
         self.names = [f"d{n:03d}" for n in range(self.size)]
         self.duties = tuple(f"box{n:03d}" for n in range(self.duty_count))
         self.nodes: dict[str, DutyNode] = {}
-        self.dead: set[str] = set()
-        self.paused: set[str] = set()
-        self.sides: dict[str, int] = {}  # by member: its side of a cut; none: one network
-        self.starts: list[tuple[float, str, str]] = []  # (start ms, member, duty)
-        self.datagrams = 0
-        self.lost = 0
+        self.dead_names: set[str] = set()
+        self.paused_names: set[str] = set()
+        self.sides_by_member: dict[str, int] = {}  # by member: its side of a partition; empty: no partition
+        self.duty_starts: list[tuple[float, str, str]] = []  # (start ms, member, duty)
+        self.datagram_count = 0
+        self.lost_count = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         for name in self.names:
-            self._boot(name, incarnation=EPOCH)
-            self._at(self.rng.uniform(0, self.tick_ms), partial(self._tick, name))
+            self._start_member(name, incarnation=FIRST_INCARNATION)
+            self._schedule(self.rng.uniform(0, self.tick_ms), partial(self._tick, name))
 
     # Faults ------------------------------------------------------------------------------------------------
 
     def kill(self, names: list[str]) -> None:
-        """These members die at once, without a message."""
-        self.dead.update(names)
+        """Kill these members at once. They send no last message."""
+        self.dead_names.update(names)
 
     def pause(self, names: list[str]) -> None:
-        """These members neither tick nor receive until :meth:`resume`."""
-        self.paused.update(names)
+        """Pause these members: they neither tick nor receive until :meth:`resume`."""
+        self.paused_names.update(names)
 
     def resume(self, names: list[str]) -> None:
-        """Paused members go on with the view they had."""
-        self.paused.difference_update(names)
+        """Let paused members continue with the view they had."""
+        self.paused_names.difference_update(names)
 
     def cut(self, sides: dict[str, int]) -> None:
-        """Messages between members of different sides are lost; ``{}`` heals."""
-        self.sides = dict(sides)
+        """Drop messages between members of different sides. ``{}`` ends the partition."""
+        self.sides_by_member = dict(sides)
 
     def restart(self, name: str) -> None:
-        """A dead member starts again, empty, with an incarnation above any it had."""
-        self.dead.discard(name)
-        self._boot(name, incarnation=EPOCH + int(self.now) + 1)
+        """Start a dead member again with an empty view and an incarnation above any it had."""
+        self.dead_names.discard(name)
+        self._start_member(name, incarnation=FIRST_INCARNATION + int(self.now_ms) + 1)
 
     def alive_names(self) -> list[str]:
-        """The members that have not been killed, paused ones among them."""
-        return [name for name in self.names if name not in self.dead]
+        """Return the members that have not been killed, including paused ones."""
+        return [name for name in self.names if name not in self.dead_names]
 
     # Running -----------------------------------------------------------------------------------------------
 
     def run_until(self, until_ms: float) -> None:
-        """Play all events up to ``until_ms`` of the settable clock."""
+        """Process all events up to ``until_ms`` of the settable clock."""
         while self._events and self._events[0][0] <= until_ms:
-            self.now, _, call = heapq.heappop(self._events)
-            call()
-        self.now = until_ms
+            self.now_ms, _, action = heapq.heappop(self._events)
+            action()
+        self.now_ms = until_ms
 
-    def _done(self, name: str, duty: str) -> None:
+    def _finish_duty(self, name: str, duty: str) -> None:
         node = self.nodes.get(name)
-        if node is not None and name not in self.dead:
-            node.done(self.now, duty, True)
+        if node is not None and name not in self.dead_names:
+            node.record_done(self.now_ms, duty, True)
 
-    def _boot(self, name: str, incarnation: int) -> None:
+    def _start_member(self, name: str, incarnation: int) -> None:
         seeds = tuple(n for n in self.names if n != name)
-        view = Membership(name, self.now, seeds, self.tuning, incarnation, random.Random(self.rng.random()))
+        view = Membership(name, self.now_ms, seeds, self.tuning, incarnation, random.Random(self.rng.random()))
         self.nodes[name] = DutyNode(view, self.duties, self.duty_tuning)
 
-    def _at(self, at: float, call: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._order), call))
+    def _schedule(self, at_ms: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_ms, next(self._sequence), action))
 
     def _tick(self, name: str) -> None:
-        if name in self.dead:
-            self._at(self.now + self.tick_ms, partial(self._tick, name))
+        if name in self.dead_names:
+            self._schedule(self.now_ms + self.tick_ms, partial(self._tick, name))
             return
-        if name not in self.paused:
-            due = self.nodes[name].tick(self.now)
+        if name not in self.paused_names:
+            due = self.nodes[name].tick(self.now_ms)
             for send in due.sends:
                 self._send(name, send)
-            for duty in due.start:
-                self.starts.append((self.now, name, duty))
-                self._at(self.now + self.duty_ms, partial(self._done, name, duty))
-        self._at(self.now + self.tick_ms, partial(self._tick, name))
+            for duty in due.duties_to_start:
+                self.duty_starts.append((self.now_ms, name, duty))
+                self._schedule(self.now_ms + self.duty_ms, partial(self._finish_duty, name, duty))
+        self._schedule(self.now_ms + self.tick_ms, partial(self._tick, name))
 
     def _send(self, sender: str, send: Send) -> None:
-        self.datagrams += 1
-        cut = self.sides and self.sides.get(sender, 0) != self.sides.get(send.to, 0)
-        if cut or self.rng.random() < self.net.loss:
-            self.lost += 1
+        self.datagram_count += 1
+        cut = self.sides_by_member and self.sides_by_member.get(sender, 0) != self.sides_by_member.get(send.to, 0)
+        if cut or self.rng.random() < self.network.loss:
+            self.lost_count += 1
             return
         message = send.message
-        if self.wire:
-            message = decode(encode(message, "sim", self.now), "sim", self.now)
-        delay = self.net.delay_ms
-        if self.rng.random() < self.net.late_fraction:
-            delay += self.rng.uniform(0, self.net.late_ms)
-        self._at(self.now + delay, partial(self._deliver, send.to, message))
+        if self.is_wire_encoded:
+            message = decode(encode(message, "sim", self.now_ms), "sim", self.now_ms)
+        delay = self.network.delay_ms
+        if self.rng.random() < self.network.late_fraction:
+            delay += self.rng.uniform(0, self.network.late_ms)
+        self._schedule(self.now_ms + delay, partial(self._deliver, send.to, message))
 
     def _deliver(self, to: str, message: Message) -> None:
-        if to in self.dead or to in self.paused or message.sender in self.dead:
+        if to in self.dead_names or to in self.paused_names or message.sender in self.dead_names:
             return
-        for send in self.nodes[to].receive(self.now, message).sends:
+        for send in self.nodes[to].receive(self.now_ms, message).sends:
             self._send(to, send)
 
     # Measures ----------------------------------------------------------------------------------------------
 
-    def longest_gap(self, since_ms: float, until_ms: float | None = None) -> float:
-        """The longest time within [since, until] that any duty went without being started (ms)."""
-        until = self.now if until_ms is None else until_ms
-        by_duty: dict[str, list[float]] = {d: [] for d in self.duties}
-        for at, _, duty in self.starts:
-            if since_ms <= at <= until:
-                by_duty[duty].append(at)
-        worst = 0.0
-        for times in by_duty.values():
-            edges = [since_ms, *sorted(times), until]
-            worst = max(worst, *(b - a for a, b in itertools.pairwise(edges)))
-        return worst
+    def longest_gap_ms(self, since_ms: float, until_ms: float | None = None) -> float:
+        """Return the longest time between ``since_ms`` and ``until_ms`` without a start of some duty, in ms."""
+        end_ms = self.now_ms if until_ms is None else until_ms
+        by_duty: dict[str, list[float]] = {listed: [] for listed in self.duties}
+        for at_ms, _, duty in self.duty_starts:
+            if since_ms <= at_ms <= end_ms:
+                by_duty[duty].append(at_ms)
+        longest_ms = 0.0
+        for times_ms in by_duty.values():
+            edges_ms = [since_ms, *sorted(times_ms), end_ms]
+            longest_ms = max(longest_ms, *(later - earlier for earlier, later in itertools.pairwise(edges_ms)))
+        return longest_ms
 
     def duplicate_fraction(self, since_ms: float, until_ms: float | None = None) -> float:
-        """Fraction of starts in the window within half an interval of another member's start of the same
-        duty: work that a single owner would not have done."""
-        until = self.now if until_ms is None else until_ms
-        half = self.duty_tuning.interval_ms / 2
-        last: dict[str, tuple[float, str]] = {}
-        total = doubled = 0
-        for at, name, duty in sorted(self.starts):
-            before = last.get(duty)
-            if since_ms <= at <= until:
+        """Return the fraction of the starts in the window that are duplicates.
+
+        A start is a duplicate if another member started the same duty less than half an interval before. A single
+        owner would not have done that work.
+        """
+        end_ms = self.now_ms if until_ms is None else until_ms
+        half_interval_ms = self.duty_tuning.interval_ms / 2
+        last_starts: dict[str, tuple[float, str]] = {}
+        total = duplicates = 0
+        for at_ms, name, duty in sorted(self.duty_starts):
+            previous = last_starts.get(duty)
+            if since_ms <= at_ms <= end_ms:
                 total += 1
-                if before and before[1] != name and at - before[0] < half:
-                    doubled += 1
-            last[duty] = (at, name)
-        return doubled / total if total else 0.0
+                if previous and previous[1] != name and at_ms - previous[0] < half_interval_ms:
+                    duplicates += 1
+            last_starts[duty] = (at_ms, name)
+        return duplicates / total if total else 0.0
 
     def duty_rate(self, since_ms: float, until_ms: float | None = None) -> float:
-        """Starts per duty per second in the window."""
-        until = self.now if until_ms is None else until_ms
-        count = sum(1 for at, _, _ in self.starts if since_ms <= at <= until)
-        return count / len(self.duties) / ((until - since_ms) / 1000.0)
+        """Return the starts per duty per second in the window."""
+        end_ms = self.now_ms if until_ms is None else until_ms
+        count = sum(1 for at_ms, _, _ in self.duty_starts if since_ms <= at_ms <= end_ms)
+        return count / len(self.duties) / ((end_ms - since_ms) / 1000.0)
--- a/beechslip/peering.py
+++ b/beechslip/peering.py
@@ -9,7 +9,7 @@
 import orjson
 
 from beechslip.budgets.part import BudgetPart
-from beechslip.budgets.plan import Plan
+from beechslip.budgets.plan import BudgetPlan
 from beechslip.budgets.settings import BudgetsConfig, check_floors, read_budgets
 from beechslip.config import Config, ConfigError
 from beechslip.core.model import AttemptResult, Backend, HealthChecker
@@ -146,7 +146,7 @@
     """The settings of the budgets, checked against the number of proxies that share them; None where off."""
     budgets = read_budgets(fleet, leases)
     if budgets is not None and leases is not None:
-        check_floors(budgets, Plan(budgets, settings).smallest_floors(), max(leases.sets), fleet.file)
+        check_floors(budgets, BudgetPlan(budgets, settings).smallest_floors(), max(leases.sets), fleet.file)
     return budgets
 
 
--- a/beechslip/peering_builder.py
+++ b/beechslip/peering_builder.py
@@ -11,7 +11,7 @@
 from beechslip.budgets.leader import LEASE
 from beechslip.budgets.node import BudgetNode
 from beechslip.budgets.part import BudgetPart
-from beechslip.budgets.plan import Plan
+from beechslip.budgets.plan import BudgetPlan
 from beechslip.budgets.settings import BudgetsConfig
 from beechslip.clock import Clock
 from beechslip.config import Config
@@ -186,8 +186,8 @@
             settings.proxies_in_zone,
             self._history.note,
         )
-        part = BudgetPart(node, Plan(budgets, settings), self._clock, self._counters, self._post)
-        part.trim = self._client.bound(part)
+        part = BudgetPart(node, BudgetPlan(budgets, settings), self._clock, self._counters, self._post)
+        part.limit_connections = self._client.bound(part)
         self._health_checker = ListedHealthChecker(BudgetedHealthChecker(self._client, part), part)
         self._parts.append(part)
         return part
@@ -207,7 +207,7 @@
         )
         part = RegionPart(node, self._config.settings, self._clock, self._counters, self._post)
         if budgets is not None:
-            part.warmup_exhausted = budgets.slow_start_full
+            part.warmup_exhausted = budgets.is_slow_start_full
         self._health_checker = ListedHealthChecker(self._health_checker, part)
         self._parts.append(part)
         return part
--- a/bench/budget_measures.py
+++ b/bench/budget_measures.py
@@ -16,7 +16,7 @@
 import numpy as np
 
 from beechslip.budgets.leader import LEASE
-from beechslip.budgets.limit import Cost, FleetLimit
+from beechslip.budgets.limit import FleetLimit, LimitCost
 from beechslip.leases.paxos import LeaseTuning
 from lab.virtual import VirtualFleet
 from lab.virtual_budgets import BudgetFleet
@@ -137,7 +137,7 @@
         for limit in self.base:
             mean = self.wanted * _per_second(limit) * self._weight(name) * self.plan.tick_ms / 1000.0
             for _ in range(_poisson(self._chance, mean)):
-                is_served = node.spend(local, [Cost(limit.name, 1.0)])
+                is_served = node.spend(local, [LimitCost(limit.name, 1.0)])
                 node.confirm(local)
                 self.requests[name].made += 1
                 self.requests[name].served += is_served
@@ -150,7 +150,7 @@
         self._at(began, lambda: checker.spend(self.now, name, cost))
         if checker.limit.kind == "flight":
             flight_ms = self._chance.expovariate(1 / MEAN_FLIGHT_MS)
-            ended = began + min(flight_ms, checker.limit.tail_ms - 200.0)
+            ended = began + min(flight_ms, checker.limit.base_occupancy_ms - 200.0)
             self._at(ended, checker.release)
             self._at(ended, partial(self._release, name, self._lives[name], limit, True))
 
--- a/bench/duties.py
+++ b/bench/duties.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from beechslip.duties.sim import Fleet, Net
+from beechslip.duties.sim import NetworkFaults, SimulatedFleet
 from beechslip.duties.tuning import DutyTuning
 from beechslip.fleet.tuning import MembershipTuning
 
@@ -40,21 +40,23 @@
 
 def play(size: int, loss: float, seed: int) -> dict[str, float]:
     """The measures of one seeded run, by name."""
-    fleet = Fleet(size, BOXES, seed=seed, net=Net(loss=loss, late_fraction=0.1 if loss else 0.0, late_ms=2_000))
+    fleet = SimulatedFleet(
+        size, BOXES, seed=seed, network=NetworkFaults(loss=loss, late_fraction=0.1 if loss else 0.0, late_ms=2_000)
+    )
     began = time.perf_counter()
     fleet.run_until(KILL_MS)
     steady_dup = fleet.duplicate_fraction(5_000, KILL_MS)
     steady_rate = fleet.duty_rate(5_000, KILL_MS)
-    steady_gap = fleet.longest_gap(5_000, KILL_MS)
+    steady_gap = fleet.longest_gap_ms(5_000, KILL_MS)
     fleet.kill(fleet.names[::2])
     fleet.run_until(END_MS)
     return {
-        "gap_after_deaths_ms": fleet.longest_gap(KILL_MS, END_MS),
+        "gap_after_deaths_ms": fleet.longest_gap_ms(KILL_MS, END_MS),
         "steady_gap_ms": steady_gap,
         "duplicates": steady_dup,
         "probes_per_box_s": steady_rate,
         "baseline_per_box_s": size / (DutyTuning().interval_ms / 1000.0),
-        "datagrams_per_member_s": fleet.datagrams / size / (END_MS / 1000.0),
+        "datagrams_per_member_s": fleet.datagram_count / size / (END_MS / 1000.0),
         "cpu_s": time.perf_counter() - began,
     }
 
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -23,7 +23,7 @@
 
 import numpy as np
 
-from beechslip.budgets.limit import Cost, FleetLimit
+from beechslip.budgets.limit import FleetLimit, LimitCost
 from beechslip.budgets.quota import Quota
 from beechslip.leases.paxos import LeaseTuning
 from bench.budget_measures import DEATH_MS, END_MS, LATE_MS, NO_DRILL_MS, TICK_MS, Day, death_faults
@@ -111,7 +111,7 @@
         self._numbers = itertools.count(self.rng.getrandbits(40))
         self._requested_ms = now
 
-    def spend(self, now: float, costs: Sequence[Cost]) -> bool:
+    def spend(self, now: float, costs: Sequence[LimitCost]) -> bool:
         """As :meth:`beechslip.budgets.node.BudgetNode.spend`, of one cost."""
         (cost,) = costs
         is_allowed = self.quotas[cost.limit].spend(now, cost.amount)
@@ -157,7 +157,7 @@
     def _give(self, now: float, to: str, limit: str) -> Outgoing:
         """Half of what is free, unless this proxy is short itself; rates are not moved."""
         quota = self.quotas[limit]
-        free = quota.available(now)
+        free = quota.available_amount(now)
         if quota.limit.kind == "rate" or limit in self._short or free // 2 < 1.0:
             return []
         amount = free // 2
--- a/lab/budget_checker.py
+++ b/lab/budget_checker.py
@@ -45,7 +45,7 @@
     def used(self, t: float) -> float:
         """What is occupied at ``t`` (ms); a rate: spendings of the last second."""
         if self.limit.kind != "flight":
-            length_ms = self.limit.tail_ms if self.limit.kind == "window" else RATE_WINDOW_MS
+            length_ms = self.limit.base_occupancy_ms if self.limit.kind == "window" else RATE_WINDOW_MS
             while self._window and t - self._window[0][0] >= length_ms:
                 self._used -= self._window.popleft()[1]
         return self._used
--- a/lab/budget_faults.py
+++ b/lab/budget_faults.py
@@ -8,7 +8,7 @@
 
 from beechslip.budgets.allocator import Allocator, QuotaRequest
 from beechslip.budgets.leader import AllocationLeader
-from beechslip.budgets.limit import FleetLimit, Loan
+from beechslip.budgets.limit import FleetLimit, FloorLoan
 from beechslip.budgets.messages import AllocationRequest
 from beechslip.budgets.quota import Quota
 from lab.injected_faults import register_replacement
@@ -22,7 +22,7 @@
 def _new_allocator_does_not_wait(original: Method) -> Method:
     def init(self: Allocator, limit: FleetLimit, token: int, now_ms: float) -> None:
         original(self, limit, token, now_ms)
-        self.settled_from_ms = now_ms
+        self.earlier_grants_end_ms = now_ms
 
     return init
 
@@ -48,8 +48,8 @@
     """A loan counts from when the allocator hears of it, however late that is, and whatever the lender goes by."""
 
     def record_loan(self: Allocator, now_ms: float, member: str, incarnation: int, request: QuotaRequest) -> None:
-        if request.lent:
-            self._loans[member] = [Loan(request.lent, now_ms + self.limit.loan_ms())]
+        if request.lent_amount:
+            self._loans[member] = [FloorLoan(request.lent_amount, now_ms + self.limit.loan_ms())]
 
     return record_loan
 
@@ -235,7 +235,7 @@
     _loan_from_arrival,
 )
 register_replacement(
-    "lends-and-spends", GROUP, "a member lends what it goes on spending", Quota, "lent", _lent_is_spent
+    "lends-and-spends", GROUP, "a member lends what it goes on spending", Quota, "lent_amount", _lent_is_spent
 )
 register_replacement(
     "restart-forgets-loans",
--- a/lab/lease_faults.py
+++ b/lab/lease_faults.py
@@ -116,8 +116,12 @@
     def overdue(self: DutyNode, now_ms: float, duty: str, rank: int, owner: str) -> float:
         return original(self, now_ms, duty, rank, owner) if rank == 0 else -1.0
 
-    original = DutyNode._overdue
-    return [Patch(DutyNode, "_alive", always), Patch(DutyNode, "_sure", always), Patch(DutyNode, "_overdue", overdue)]
+    original = DutyNode._overdue_ms
+    return [
+        Patch(DutyNode, "_may_be_alive", always),
+        Patch(DutyNode, "_is_alive", always),
+        Patch(DutyNode, "_overdue_ms", overdue),
+    ]
 
 
 register("no-quiet", GROUP, "an acceptor answers at once after a restart", _answers_without_quiet_time)
--- a/lab/model_checks.py
+++ b/lab/model_checks.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from beechslip.budgets.plan import Plan
-from beechslip.budgets.settings import AMOUNTS, BudgetsConfig
+from beechslip.budgets.plan import BudgetPlan
+from beechslip.budgets.settings import AMOUNT_KEYS, BudgetsConfig
 from beechslip.routing.wire.settings import read_settings
 from lab.backends import BusyBackend
 from lab.budget_checker import settled_ms
@@ -62,7 +62,7 @@
 
 def _region_sizes(testbed: Testbed) -> dict[str, int]:
     """By region, how many backends it has."""
-    plan = Plan(BudgetsConfig(1, 1, 1, 1, 0, {}), read_settings(testbed.settings(0)))
+    plan = BudgetPlan(BudgetsConfig(1, 1, 1, 1, 0, {}), read_settings(testbed.settings(0)))
     sizes: dict[str, int] = {}
     for backend in testbed.backends:
         role = plan.role(backend.entry())
@@ -89,7 +89,7 @@
     if not table or not backends:
         return BudgetFindings()
     day_ms = time.time() * 1000.0 - steady_ms()
-    plan = Plan(_budgets_config(table), read_settings(testbed.settings(0)))
+    plan = BudgetPlan(_budgets_config(table), read_settings(testbed.settings(0)))
     plan.follow(backend.entry(started_ms=backend.started_ms) for backend in backends)
     bounds = _changed_bounds(testbed, plan, day_ms)
     violations, used = check_spending(backends, plan, day_ms, bounds, PUBLISHED_MS)
@@ -103,17 +103,17 @@
         float(table.get("travel_ms", 100)),
         float(table.get("mean_ms", 100)),
         DRIFT,
-        {key: float(table.get(key, 0.0)) for key in AMOUNTS},
+        {key: float(table.get(key, 0.0)) for key in AMOUNT_KEYS},
     )
 
 
-def _changed_bounds(testbed: Testbed, plan: Plan, day_ms: float) -> dict[str, list[tuple[float, float]]]:
+def _changed_bounds(testbed: Testbed, plan: BudgetPlan, day_ms: float) -> dict[str, list[tuple[float, float]]]:
     """By budget: from when (ms) the amount holds that a change of the files gave it."""
     change = testbed.budget_change
     if change is None:
         return {}
     amounts = dict(plan.config.amounts) | dict(change.amounts)
-    changed = Plan(dataclasses.replace(plan.config, amounts=amounts), plan.settings)
+    changed = BudgetPlan(dataclasses.replace(plan.config, amounts=amounts), plan.settings)
     changed.follow(plan.backends.values())
     originals = {budget.name: budget for budget in plan.limits(day_ms)}
     bounds: dict[str, list[tuple[float, float]]] = {}
--- a/lab/spending.py
+++ b/lab/spending.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from beechslip.budgets.limit import FleetLimit
-from beechslip.budgets.plan import CONNECTIONS, HEALTH_CHECKS, RETRIES, SLOW_START, Plan
+from beechslip.budgets.plan import CONNECTIONS, HEALTH_CHECKS, RETRIES, SLOW_START, BudgetPlan
 from lab.backends import BusyBackend
 from lab.budget_checker import BudgetChecker
 from lab.check import Violation
@@ -51,7 +51,7 @@
     max_used: dict[str, float]
 
 
-def spendings(backends: Sequence[BusyBackend], plan: Plan, day_ms: float) -> dict[str, list[Spending]]:
+def spendings(backends: Sequence[BusyBackend], plan: BudgetPlan, day_ms: float) -> dict[str, list[Spending]]:
     """By limit, all that was spent of it. ``day_ms``: the time of day less the lab's clock."""
     spent: defaultdict[str, list[Spending]] = defaultdict(list)
     spent[RETRIES] = _retries_in_vain(backends)
@@ -64,7 +64,7 @@
             for name in dict.fromkeys((backend.name, met.source)):
                 if name not in listed:
                     continue
-                for cost in plan.costs_of(name, met.t + day_ms):
+                for cost in plan.backend_costs(name, met.t + day_ms):
                     spent[cost.limit].append(Spending(met.t, met.ended or met.t, cost.amount))
         for began, ended in backend.links:
             spent[f"{CONNECTIONS}:{backend.name}"].append(Spending(began, ended, 1.0))
@@ -104,7 +104,7 @@
 
 def check_spending(
     backends: Sequence[BusyBackend],
-    plan: Plan,
+    plan: BudgetPlan,
     day_ms: float,
     bounds: Mapping[str, Bounds],
     grace_ms: float,
@@ -125,7 +125,7 @@
     return report
 
 
-def _all_limits(plan: Plan, day_ms: float) -> dict[str, FleetLimit]:
+def _all_limits(plan: BudgetPlan, day_ms: float) -> dict[str, FleetLimit]:
     """Those of now, and those of each backend's slow start."""
     found = {limit.name: limit for limit in plan.limits(day_ms)}
     for backend in plan.backends.values():
--- a/lab/virtual_budgets.py
+++ b/lab/virtual_budgets.py
@@ -16,9 +16,9 @@
 from functools import partial
 from typing import Any
 
-from beechslip.budgets.floors import DeclaredSet
+from beechslip.budgets.floors import DeclaredMembers
 from beechslip.budgets.leader import LEASE
-from beechslip.budgets.limit import Cost, FleetLimit
+from beechslip.budgets.limit import FleetLimit, LimitCost
 from beechslip.budgets.messages import AllocationGrant, AllocationRequest, decode_budget, encode_budget
 from beechslip.budgets.node import BudgetNode
 from beechslip.fleet.codec import decode, encode
@@ -82,13 +82,13 @@
         declared = self._declared_set(name)
         self._unwritten.pop(name, None)
         node = self.nodes[name] = BudgetNode(
-            name, member.node, self._lives[name], self._local(member), declared.members, declared.before
+            name, member.node, self._lives[name], self._local(member), declared.members, declared.members_before
         )
         node.set_limits(self._local(member), self.limits(name))
 
-    def _declared_set(self, name: str) -> DeclaredSet:
+    def _declared_set(self, name: str) -> DeclaredMembers:
         sets = self.declared[name]
-        return DeclaredSet(sets[-1], sets[0] if len(sets) > 1 else 0)
+        return DeclaredMembers(sets[-1], sets[0] if len(sets) > 1 else 0)
 
     def _fault(self, what: str, whom: Any) -> None:
         if what == "scale":
@@ -107,7 +107,7 @@
         return [
             limit.name
             for limit in self.base
-            if self.rng.random() < UNWRITTEN_PROBABILITY and node.spend(local, [Cost(limit.name, 1.0)])
+            if self.rng.random() < UNWRITTEN_PROBABILITY and node.spend(local, [LimitCost(limit.name, 1.0)])
         ]
 
     def _rescale(self, name: str, scale: float) -> None:
@@ -159,7 +159,7 @@
         for limit in self.base:
             cost = WINDOW_COST if limit.kind == "window" else 1.0
             for _ in range(int(wanted / cost)):
-                if not node.spend(local, [Cost(limit.name, cost)]):
+                if not node.spend(local, [LimitCost(limit.name, cost)]):
                     break
                 node.confirm(local)
                 self._felt(name, limit.name, cost)
@@ -173,7 +173,7 @@
         self._at(began, lambda: checker.spend(self.now, name, cost))
         if checker.limit.kind != "flight":
             return
-        ended = began + self.rng.uniform(MIN_FLIGHT_MS, checker.limit.tail_ms - travel_ms)
+        ended = began + self.rng.uniform(MIN_FLIGHT_MS, checker.limit.base_occupancy_ms - travel_ms)
         is_given_up = self.rng.random() < 0.5
         felt_after_ms = self.rng.uniform(0.0, travel_ms) if is_given_up else 0.0
         self._at(ended + felt_after_ms, checker.release)
--- a/tests/test_duties_wire.py
+++ b/tests/test_duties_wire.py
@@ -1,4 +1,7 @@
-"""Duties over real UDP sockets on loopback, and the codec against bad, cut and foreign datagrams."""
+"""Tests of the duties over real UDP sockets on loopback, and of the codec and the settings.
+
+The codec must reject bad, truncated and foreign datagrams.
+"""
 
 from __future__ import annotations
 
@@ -32,82 +35,88 @@
 FLEET = "test-fleet"
 
 
-def _address() -> Address:
+def _free_address() -> Address:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
         holder.bind(("127.0.0.1", 0))
         return Address("127.0.0.1", holder.getsockname()[1])
 
 
-class _Shared:
-    """What a duty part needs of a shared health checker: duties that are done at once, reports that are stored."""
+class _FakeSharedChecker:
+    """A stand-in for a shared health checker: does duties at once and stores reports."""
 
     def __init__(self, node: DutyNode) -> None:
-        self.node, self.done, self.reports = node, list[str](), list[Report]()
+        self.node, self.done_duties, self.reports = node, list[str](), list[Report]()
 
-    async def perform(self, duty: str) -> bool:
-        self.done.append(duty)
+    async def perform_duty(self, duty: str) -> bool:
+        self.done_duties.append(duty)
         return True
 
     def on_report(self, report: Report) -> None:
         self.reports.append(report)
 
 
-def _peers(
+def _build_peers(
     number: int, addresses: list[Address], duties: tuple[str, ...], clock: ManualClock
-) -> tuple[Peers, _Shared]:
+) -> tuple[Peers, _FakeSharedChecker]:
     names = tuple(member_name(n) for n in range(len(addresses)))
     node = DutyNode(Membership(names[number], clock.steady_ms(), names, incarnation=1), duties)
-    shared, counters = _Shared(node), Counters()
-    part = DutyPart(cast(SharedHealthChecker, shared), clock, counters)
-    return Peers(FLEET, number, addresses[number], addresses, [part], clock, counters), shared
+    checker, counters = _FakeSharedChecker(node), Counters()
+    part = DutyPart(cast(SharedHealthChecker, checker), clock, counters)
+    return Peers(FLEET, number, addresses[number], addresses, [part], clock, counters), checker
 
 
-async def _pass(clock: ManualClock, ms: float, step: float = 50.0) -> None:
-    """Let ``ms`` pass on the clock, giving the loop a turn at each step so that datagrams arrive."""
-    for _ in range(int(ms / step)):
-        clock.advance(step)
+async def _advance_clock(clock: ManualClock, ms: float, step_ms: float = 50.0) -> None:
+    """Advance the clock by ``ms``, and let the event loop run at each step so that datagrams arrive."""
+    for _ in range(int(ms / step_ms)):
+        clock.advance(step_ms)
         for _ in range(5):
             await asyncio.sleep(0)
 
 
 @run
-async def test_members_on_loopback_divide_health_checks_and_take_over_from_one_that_stops() -> None:
-    clock, addresses = ManualClock(), [_address() for _ in range(4)]
+async def test_members_divide_health_checks_and_take_over_from_a_stopped_member() -> None:
+    clock, addresses = ManualClock(), [_free_address() for _ in range(4)]
     duties = tuple(f"box{n}" for n in range(12))
-    peers, shared = zip(*(_peers(n, addresses, duties, clock) for n in range(4)), strict=True)
+    peers, checkers = zip(*(_build_peers(n, addresses, duties, clock) for n in range(4)), strict=True)
     try:
-        for one in peers:
-            await one.start()
-        await _pass(clock, 10_000)
-        assert all(one.counters["fleet.received"] > 0 for one in peers)
-        recent = sum(len(one.done) for one in shared)
-        await _pass(clock, 6_000)
-        per_backend = (sum(len(one.done) for one in shared) - recent) / len(duties) / 6.0
-        assert per_backend < 0.8  # about one health check an interval (2 s), not one per member: 4 members
-        assert all(one.reports for one in shared)  # each received reports of health checks that others made
+        for member in peers:
+            await member.start()
+        await _advance_clock(clock, 10_000)
+        assert all(member.counters["fleet.received"] > 0 for member in peers)
+        count_before_window = sum(len(checker.done_duties) for checker in checkers)
+        await _advance_clock(clock, 6_000)
+        per_backend = (
+            (sum(len(checker.done_duties) for checker in checkers) - count_before_window) / len(duties) / 6.0
+        )
+        assert per_backend < 0.8  # about one health check in each interval of 2 s, not one for each of the 4 members
+        assert all(checker.reports for checker in checkers)  # each received reports of health checks that others made
         peers[0].stop()
-        before = [len(one.done) for one in shared]
-        await _pass(clock, 8_000)
-        assert {d for one, was in zip(shared[1:], before[1:], strict=True) for d in one.done[was:]} == set(duties)
-        assert all(one.node.membership.state_of("d0") is State.DEAD for one in shared[1:])
+        counts_before = [len(checker.done_duties) for checker in checkers]
+        await _advance_clock(clock, 8_000)
+        assert {
+            duty
+            for checker, count_before in zip(checkers[1:], counts_before[1:], strict=True)
+            for duty in checker.done_duties[count_before:]
+        } == set(duties)
+        assert all(checker.node.membership.state_of("d0") is State.DEAD for checker in checkers[1:])
     finally:
-        for one in peers:
-            one.stop()
+        for member in peers:
+            member.stop()
 
 
 @run
 async def test_bad_and_foreign_datagrams_are_counted_and_dropped() -> None:
-    clock, addresses = ManualClock(), [_address(), _address()]
-    peer, _ = _peers(0, addresses, ("a",), clock)
+    clock, addresses = ManualClock(), [_free_address(), _free_address()]
+    peer, _ = _build_peers(0, addresses, ("a",), clock)
     await peer.start()
     sender, member = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
     member.bind((addresses[1].host, addresses[1].port))
     good = encode(Message("ping", "d1", 1), FLEET)
-    old = good.replace(b"\x08\x02", b"\x08\x01", 1)  # the version is the first field
+    old = good.replace(b"\x08\x02", b"\x08\x01", 1)  # the version is the first field of a datagram
     try:
         for data in (b"", b"\xff" * 40, good[:-3], old, encode(Message("ping", "d1", 1), "other"), b"x" * 600):
             member.sendto(data, (addresses[0].host, addresses[0].port))
-        sender.sendto(good, (addresses[0].host, addresses[0].port))  # not from the member's address
+        sender.sendto(good, (addresses[0].host, addresses[0].port))  # sent from an address of no member
         member.sendto(encode(Message("ping", "d0", 1), FLEET), (addresses[0].host, addresses[0].port))
         await until(lambda: peer.counters["fleet.bad"] >= 6 and peer.counters["fleet.foreign"] >= 2)
         assert peer.counters["fleet.received"] == 0
@@ -128,7 +137,7 @@
     st.lists(st.builds(Update, _names, st.integers(0, 2**50), st.sampled_from(list(State))), max_size=6),
     st.lists(st.builds(Report, _names, _names, st.floats(0, 2e12), st.booleans(), st.booleans()), max_size=6),
 )
-def test_what_is_encoded_decodes_to_itself_within_the_bound(
+def test_decoded_message_equals_the_encoded_one_within_the_size_bound(
     sender: str, seq: int, updates: list[Update], reports: list[Report]
 ) -> None:
     message = Message("ack", sender, seq, "", tuple(updates), tuple(reports))
@@ -141,12 +150,12 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_decode_or_raise_a_codec_error(data: bytes) -> None:
-    with contextlib.suppress(CodecError):  # anything else (a crash) fails the test
+def test_decode_returns_a_message_or_raises_a_codec_error(data: bytes) -> None:
+    with contextlib.suppress(CodecError):  # any other exception fails the test
         decode(data, FLEET)
 
 
-def test_a_bare_message_over_the_bound_is_refused() -> None:
+def test_encode_rejects_a_message_without_reports_over_the_size_bound() -> None:
     with pytest.raises(CodecError):
         encode(Message("ping", "x" * 300, 1), FLEET)
 
@@ -160,18 +169,18 @@
 )
 
 
-def test_the_shipped_file_is_off_and_what_it_holds_can_be_used(tmp_path: Path) -> None:
+def test_shipped_fleet_file_is_off_and_valid_when_enabled(tmp_path: Path) -> None:
     assert read_fleet(FLEET_FILE, CONFIG) is None
-    on = tmp_path / "on.toml"
-    on.write_text(FLEET_FILE.read_text().replace("enabled = false", "enabled = true"))
-    fleet = read_fleet(on, CONFIG)
+    enabled_file = tmp_path / "on.toml"
+    enabled_file.write_text(FLEET_FILE.read_text().replace("enabled = false", "enabled = true"))
+    fleet = read_fleet(enabled_file, CONFIG)
     assert fleet is not None and fleet.listen == Address("127.0.0.1", 7000) and len(fleet.peers) == 3
     duties, leases = read_duties(fleet), read_leases(fleet)
-    assert duties is not None and duties.k == 3 and leases is not None and leases.sets == (3,)
+    assert duties is not None and duties.members_per_duty == 3 and leases is not None and leases.sets == (3,)
 
 
 @pytest.mark.parametrize(
-    ("values_text", "named"),
+    ("values_text", "expected_match"),
     [
         ('listen = "nowhere"', "listen"),
         ('peers = "x"', "peers"),
@@ -195,17 +204,17 @@
         ("[leases]\nenabled = true\nlease_ms = 500\nmargin_ms = 240", "lease_ms"),
     ],
 )
-def test_a_wrong_fleet_file_is_refused_by_name(tmp_path: Path, values_text: str, named: str) -> None:
-    bad = tmp_path / "bad.toml"
-    bad.write_text(f"enabled = true\n{values_text}\n")
-    with pytest.raises(ConfigError, match=named):
-        fleet = read_fleet(bad, CONFIG)
+def test_invalid_fleet_file_is_rejected_by_name(tmp_path: Path, values_text: str, expected_match: str) -> None:
+    bad_file = tmp_path / "bad.toml"
+    bad_file.write_text(f"enabled = true\n{values_text}\n")
+    with pytest.raises(ConfigError, match=expected_match):
+        fleet = read_fleet(bad_file, CONFIG)
         assert fleet is not None
         read_duties(fleet)
         read_leases(fleet)
 
 
-def test_the_file_that_came_before_is_refused_with_what_to_do(tmp_path: Path) -> None:
+def test_former_duties_file_is_rejected_with_what_to_do(tmp_path: Path) -> None:
     refuse_old({}, tmp_path / "duties.toml")
     with pytest.raises(ConfigError, match="EDGE_FLEET"):
         refuse_old({"EDGE_DUTIES": "x"}, tmp_path / "duties.toml")
@@ -214,8 +223,8 @@
         refuse_old({}, tmp_path / "duties.toml")
 
 
-class _Inner:
-    """A health checker stand-in: counts the health checks requested and answers ``ok``."""
+class _FakeHealthChecker:
+    """A stand-in for a health checker: records the health checks requested and returns ``ok``."""
 
     def __init__(self) -> None:
         self.checked: list[str] = []
@@ -229,14 +238,14 @@
 
 
 @run
-async def test_a_fresh_report_of_another_answers_the_modules_health_check_and_reaches_it() -> None:
-    clock, posted, inner = ManualClock(), list[object](), _Inner()
+async def test_fresh_report_of_another_member_answers_a_health_check_and_reaches_the_module() -> None:
+    clock, posted, inner = ManualClock(), list[object](), _FakeHealthChecker()
     node = DutyNode(Membership("me", clock.now_ms(), ("other",)), ())
     shared = SharedHealthChecker(inner, node, clock, Counters(), posted.append)
     backends = [Backend(f"box{n}", f"127.0.0.1:{9000 + n}") for n in range(6)]
     shared.follow({backend.name: backend for backend in backends})
-    theirs = next(d for d in backends if node.rank(d.name) != 0)
-    mine = next(d for d in backends if node.rank(d.name) == 0)
+    theirs = next(backend for backend in backends if node.rank(backend.name) != 0)
+    mine = next(backend for backend in backends if node.rank(backend.name) == 0)
     now = clock.now_ms()
     node.receive(
         now,
@@ -250,21 +259,21 @@
     assert (await shared.health_check(theirs)).result == "ok"
     assert inner.checked == []  # answered by the report
     assert (await shared.health_check(mine)).result == "ok"
-    assert inner.checked == [mine.name]  # an owner checks itself
+    assert inner.checked == [mine.name]  # an owner makes the check itself
     clock.advance(node.tuning.interval_ms + 1)
     await shared.health_check(theirs)
-    assert inner.checked == [mine.name, theirs.name]  # the report went stale
+    assert inner.checked == [mine.name, theirs.name]  # the report has become stale
     shared.on_report(Report(theirs.name, "other", now, False))
     assert posted == [i.HealthCheckResult(theirs.name, "error")]
 
 
 @run
-async def test_health_checks_that_run_at_the_end_are_cancelled_and_awaited() -> None:
+async def test_stop_cancels_running_health_checks_and_wait_closed_awaits_them() -> None:
     clock, ended = ManualClock(), list[str]()
     node = DutyNode(Membership("me", clock.steady_ms(), ()), ("box0", "box1"))
 
-    class Hanging(_Shared):
-        async def perform(self, duty: str) -> bool:
+    class Hanging(_FakeSharedChecker):
+        async def perform_duty(self, duty: str) -> bool:
             try:
                 await asyncio.Event().wait()
             finally:
