--- a/tests/connection_helpers.py
+++ b/tests/connection_helpers.py
@@ -1,4 +1,4 @@
-"""Clients' connections that send what a test likes, when it likes, and a hook right after a read."""
+"""Client connections that send any bytes at any time, and a hook that runs right after a read."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class GatedBackend(StandBackend):
-    """Answers by its script once its gate is open."""
+    """A backend that responds by its script once its gate is open."""
 
     def __init__(self, name: str, *script: bytes, **how: str) -> None:
         super().__init__(name, *script, **how)
@@ -37,8 +37,8 @@
     ).encode()
 
 
-class Client:
-    """A client's connection that says what it likes, when it likes."""
+class RawClient:
+    """A client connection that sends any bytes at any time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -46,18 +46,18 @@
     def send(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def status(self) -> int:
+    async def read_status(self) -> int:
         return int((await read_message(self.reader))[0].split()[1])
 
-    async def ended(self) -> bool:
+    async def is_closed_by_server(self) -> bool:
         return await self.reader.read() == b""
 
 
 @contextlib.asynccontextmanager
-async def client(port: int) -> AsyncIterator[Client]:
+async def client(port: int) -> AsyncIterator[RawClient]:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
-        yield Client(reader, writer)
+        yield RawClient(reader, writer)
     finally:
         writer.transport.abort()
 
@@ -66,13 +66,13 @@
     return list(stand.front._server._open_connections)
 
 
-def after_reading(monkeypatch: pytest.MonkeyPatch, act: Callable[[ClientConnection], object]) -> None:
-    """``act`` in the step in which a connection's bytes are read, before any handler runs."""
-    read = ClientConnection.data_received
+def run_after_reading(monkeypatch: pytest.MonkeyPatch, action: Callable[[ClientConnection], object]) -> None:
+    """Run ``action`` in the event loop step in which a connection's bytes are read, before any handler runs."""
+    original_data_received = ClientConnection.data_received
 
-    def crossing(self: ClientConnection, data: bytes) -> None:
-        read(self, data)
+    def read_then_run_action(self: ClientConnection, data: bytes) -> None:
+        original_data_received(self, data)
         if data:
-            act(self)
+            action(self)
 
-    monkeypatch.setattr(ClientConnection, "data_received", crossing)
+    monkeypatch.setattr(ClientConnection, "data_received", read_then_run_action)
--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -1,4 +1,4 @@
-"""Connections to backends: their pool, their ends, and responses that can't be trusted, on real sockets."""
+"""Connections to backends on real sockets: their pool, how they end, and responses that can't be trusted."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from tests.test_rules import Plan, boxes
 
 
-def effect(stand: Stand, name: str, **rule: Any) -> None:
-    """Give all classes this effect."""
+def set_effect(stand: Stand, name: str, **rule: Any) -> None:
+    """Set this effect for all classes."""
     classes = {key: replace(old, effect=name, **rule) for key, old in stand.settings.classes.items()}
     stand.settings = stand.engine.settings = replace(stand.settings, classes=classes)
 
@@ -35,18 +35,18 @@
 
 
 @run
-async def test_a_connection_that_comes_up_after_its_request_is_over_is_given_back(
+async def test_connection_established_after_its_request_ended_is_released(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with Stand(backend := StandBackend("a"), module=Plan("a")) as stand:
-        made = BackendConnection.connection_made
+        original_connection_made = BackendConnection.connection_made
 
-        def over(link: BackendConnection, transport: Any) -> None:
-            made(link, transport)
+        def stop_after_connecting(connection: BackendConnection, transport: Any) -> None:
+            original_connection_made(connection, transport)
             for attempt in stand.engine._attempts.in_flight.values():
                 attempt.stop("cancelled")
 
-        monkeypatch.setattr(BackendConnection, "connection_made", over)
+        monkeypatch.setattr(BackendConnection, "connection_made", stop_after_connecting)
         assert (await stand.ask())[0] == 502
         assert stand.counters["attempt.moot"] == 1 and not backend.seen
         await until(lambda: backend.closed)
@@ -54,20 +54,20 @@
 
 
 @run
-async def test_a_connection_that_is_reset_before_its_first_byte_proves_that_nothing_ran(
+async def test_connection_reset_before_first_byte_counts_as_connect_failure(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with Stand(StandBackend("a"), StandBackend("b"), module=(plan := Plan("a", "b"))) as stand:
-        effect(stand, "unsafe")
-        dial = stand.client._pool._dial
+        set_effect(stand, "unsafe")
+        original_dial = stand.client._pool._dial
 
-        async def reset(key: Any) -> BackendConnection:
-            link = await dial(key)
+        async def dial_and_reset(key: Any) -> BackendConnection:
+            connection = await original_dial(key)
             if key[0] == "a":
-                link.abort()  # between the dial's end and the first byte
-            return link
+                connection.abort()  # after the dial and before the first byte
+            return connection
 
-        monkeypatch.setattr(stand.client._pool, "_dial", reset)
+        monkeypatch.setattr(stand.client._pool, "_dial", dial_and_reset)
         assert (await stand.ask())[0] == 200
         results = [event.result for event in plan.heard if isinstance(event, i.Outcome)]
         assert results == ["connect_failed", "ok"] and not stand.backends[0].seen
@@ -75,99 +75,102 @@
 
 @run
 @pytest.mark.parametrize("reason", ["cancelled", "timeout"])
-async def test_an_attempt_cancelled_in_the_moment_in_which_its_response_is_complete_has_been_answered(
+async def test_attempt_cancelled_as_its_response_completes_uses_the_response(
     monkeypatch: pytest.MonkeyPatch, reason: Any
 ) -> None:
     async with Stand(StandBackend("a"), module=Plan("a")) as stand:
-        effect(stand, "unsafe")
-        read = BackendConnection.data_received
+        set_effect(stand, "unsafe")
+        original_data_received = BackendConnection.data_received
 
-        def crossing(link: BackendConnection, data: bytes) -> None:
-            read(link, data)
+        def read_then_stop(connection: BackendConnection, data: bytes) -> None:
+            original_data_received(connection, data)
             for attempt in stand.engine._attempts.in_flight.values():
                 attempt.stop(reason)
 
-        monkeypatch.setattr(BackendConnection, "data_received", crossing)
+        monkeypatch.setattr(BackendConnection, "data_received", read_then_stop)
         assert (await stand.ask())[2] == b"waves" and stand.counters["attempt.ok"] == 1
 
 
 @run
-@pytest.mark.parametrize(("answer", "status"), [(b"", 502), (OK[:-2], 502), (OK, 200), (OK + b"noise", 200)])
-async def test_a_reset_before_within_and_after_an_answer(answer: bytes, status: int) -> None:
-    class Resets(StandBackend):
+@pytest.mark.parametrize(("response", "status"), [(b"", 502), (OK[:-2], 502), (OK, 200), (OK + b"noise", 200)])
+async def test_connection_reset_before_within_or_after_response_never_repeats_the_request(
+    response: bytes, status: int
+) -> None:
+    class ResettingBackend(StandBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
-            writer.write(answer)
+            writer.write(response)
             if status == 200:
                 await until(lambda: stand.counters["answered.served"])
             writer.transport.abort()
 
-    async with Stand(backend := Resets("a"), module=Plan("a", "a")) as stand:
-        effect(stand, "unsafe")
+    async with Stand(backend := ResettingBackend("a"), module=Plan("a", "a")) as stand:
+        set_effect(stand, "unsafe")
         assert (await stand.ask())[0] == status
-        assert len(backend.seen) == 1  # what may have run is not sent again
+        assert len(backend.seen) == 1  # a request that may have been executed is not sent again
 
 
 @run
-async def test_an_answer_that_never_ends_is_given_up_in_time() -> None:
+async def test_incomplete_response_times_out_at_the_clients_deadline() -> None:
     async with Stand(backend := StandBackend("a", OK[:-3]), module=Plan("a")) as stand:
-        asked = stand.ask(wait_ms=1000)
+        pending_response = stand.ask(wait_ms=1000)
         await until(lambda: backend.seen)
         stand.clock.advance(999)
-        assert (await asked)[0] == 504
+        assert (await pending_response)[0] == 504
         await until(lambda: backend.closed)
 
 
 @run
-@pytest.mark.parametrize(("past_ms", "late_ms", "status"), [(400, 0, 200), (490, 0, 502), (0, 3000, 504)])
-async def test_a_keyed_write_whose_answer_is_lost_is_repeated_inside_its_window_and_its_clients_time_alone(
-    monkeypatch: pytest.MonkeyPatch, past_ms: float, late_ms: float, status: int
+@pytest.mark.parametrize(("elapsed_ms", "delay_ms", "status"), [(400, 0, 200), (490, 0, 502), (0, 3000, 504)])
+async def test_keyed_write_is_repeated_only_within_its_repeat_window_and_the_clients_time(
+    monkeypatch: pytest.MonkeyPatch, elapsed_ms: float, delay_ms: float, status: int
 ) -> None:
-    class Loses(StandBackend):
+    class ResponseLosingBackend(StandBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
-            stand.clock.advance(past_ms)
+            stand.clock.advance(elapsed_ms)
             writer.transport.abort()
 
-    async with Stand(Loses("a"), repeat := StandBackend("b"), module=Plan("a", "b")) as stand:
-        effect(stand, "keyed", group="all", window=60.0 if late_ms else 0.5)
-        dial = stand.client._pool._dial
+    async with Stand(ResponseLosingBackend("a"), second_backend := StandBackend("b"), module=Plan("a", "b")) as stand:
+        set_effect(stand, "keyed", group="all", window=60.0 if delay_ms else 0.5)
+        original_dial = stand.client._pool._dial
 
-        async def late(key: Any) -> BackendConnection:
-            link = await dial(key)
+        async def dial_late(key: Any) -> BackendConnection:
+            connection = await original_dial(key)
             if key[0] == "b":
-                stand.clock._now += late_ms  # the loop stood still: no alarm has rung yet
-            return link
+                stand.clock._now += delay_ms  # the event loop was stalled: no alarm has run yet
+            return connection
 
-        monkeypatch.setattr(stand.client._pool, "_dial", late)
-        answer = await stand.ask(**WRITE, wait_ms=2900)
-        assert (answer[0], len(repeat.seen)) == (status, int(status == 200))
+        monkeypatch.setattr(stand.client._pool, "_dial", dial_late)
+        response = await stand.ask(**WRITE, wait_ms=2900)
+        assert (response[0], len(second_backend.seen)) == (status, int(status == 200))
 
 
 @run
-async def test_aiohttp_does_not_retry_on_a_dropped_idle_connection() -> None:
-    # Its client would, in silence: an attempt that neither the cap nor the rule on effects knows of.
+async def test_dropped_idle_connection_is_not_retried() -> None:
+    # aiohttp's client would retry without notice. Neither the cap on attempts nor the rules on effects would know of
+    # that attempt.
     async with Stand(*boxes(OK, RESET, OK), module=Plan("a")) as stand:
         assert (await stand.ask())[0] == 200
-        stand.clock.advance(100)  # so that the connection has rested
+        stand.clock.advance(100)  # so that the connection has been idle for long enough
         assert (await stand.ask())[0] == 502
         assert len(stand.backends[0].seen) == 2 and stand.backends[0].connections == 1
         assert stand.counters["attempt.reset"] == 1
 
 
 @run
-async def test_a_refused_connection_proves_that_nothing_ran() -> None:
+async def test_refused_connection_counts_as_connect_failure() -> None:
     async with Stand(*boxes(), module=Plan("a", "b")) as stand:
-        gone = replace(stand.backends[0].entry(), address="127.0.0.1:1")
-        stand.engine.post(EndpointListUpdate("changes", (gone,)))
+        unreachable_backend = replace(stand.backends[0].entry(), address="127.0.0.1:1")
+        stand.engine.post(EndpointListUpdate("changes", (unreachable_backend,)))
         assert (await stand.ask())[0] == 200
         results = [event.result for event in stand.module.heard if isinstance(event, i.Outcome)]
         assert results == ["connect_failed", "ok"]
 
 
 @run
-@pytest.mark.parametrize("more", [OK.replace(b"waves", b"other"), b"noise"])
-async def test_what_an_idle_connection_brings_is_not_the_next_requests_answer(more: bytes) -> None:
+@pytest.mark.parametrize("extra_bytes", [OK.replace(b"waves", b"other"), b"noise"])
+async def test_bytes_received_on_idle_connection_are_not_used_as_the_next_response(extra_bytes: bytes) -> None:
     backend = StandBackend("a")
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -176,7 +179,7 @@
         writer.write(OK)
         if backend.connections == 1:
             await until(lambda: stand.counters["answered.served"])
-            writer.write(more)  # once its answer is through and nobody has asked
+            writer.write(extra_bytes)  # after its response was delivered, while no request is pending
 
     backend.serve = serve  # type: ignore[method-assign]
     async with Stand(backend, module=Plan("a")) as stand:
@@ -187,16 +190,16 @@
 
 
 @run
-async def test_a_second_copy_that_comes_late_is_not_taken_for_another_objects_answer() -> None:
+async def test_late_second_copy_is_not_used_as_response_for_another_object() -> None:
     async with Stand(StandBackend("a", OK), module=Plan("a")) as stand:
         assert (await stand.ask())[0] == 200
         stand.clock.advance(100)
-        assert (await stand.ask(target="/rpc/waveform/other"))[0] == 502  # the same tag and bytes once more
+        assert (await stand.ask(target="/rpc/waveform/other"))[0] == 502  # the same tag and bytes as before
         assert stand.counters["attempt.spoilt"] == 1 and stand.backends[0].connections == 1
 
 
 @run
-async def test_an_unusable_response_counts_as_executed_and_against_no_backend() -> None:
+async def test_unusable_response_counts_as_executed_but_not_against_the_backend() -> None:
     plan = Plan("a", "a")
     async with Stand(StandBackend("a", b"HTTP/1.1 2x0 OK\r\n\r\n", OK), module=plan) as stand:
         assert (await stand.ask())[2] == b"waves" and stand.backends[0].connections == 2
@@ -204,73 +207,74 @@
 
 
 @run
-async def test_a_broken_answer_is_retried_and_never_reaches_the_client() -> None:
-    cut = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwa"
+async def test_truncated_response_is_retried_and_never_reaches_the_client() -> None:
+    truncated_response = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwa"
 
-    class Cutting(StandBackend):
+    class TruncatingBackend(StandBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
-            writer.write(cut)
+            writer.write(truncated_response)
             writer.close()
 
-    async with Stand(Cutting("a"), StandBackend("b"), module=Plan("a", "b")) as stand:
+    async with Stand(TruncatingBackend("a"), StandBackend("b"), module=Plan("a", "b")) as stand:
         assert (await stand.ask())[2] == b"waves" and stand.counters["attempt.reset"] == 1
 
 
 @run
-async def test_an_answer_that_is_too_large_fails_the_attempt() -> None:
-    big = b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 300000
-    async with Stand(*boxes(big), module=Plan("a")) as stand:
+async def test_response_above_size_limit_fails_the_attempt() -> None:
+    large_response = b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 300000
+    async with Stand(*boxes(large_response), module=Plan("a")) as stand:
         assert (await stand.ask())[0] == 502 and stand.counters["attempt.spoilt"] == 1
 
 
 @run
 @pytest.mark.parametrize(
-    ("answer", "status", "body"),
+    ("response", "status", "body"),
     [
         (b"HTTP/1.1 302 Found\r\nLocation: /data/waveform/other/0\r\nContent-Length: 0\r\n\r\n", 502, b""),
         (OK.replace(b"X-Digest", b"Content-Encoding: gzip\r\nSet-Cookie: a=b\r\nX-Digest"), 200, b"waves"),
     ],
 )
-async def test_the_client_adds_nothing_of_its_own(
-    answer: bytes, status: int, body: bytes, monkeypatch: pytest.MonkeyPatch
+async def test_backend_client_adds_nothing_to_requests_and_responses(
+    response: bytes, status: int, body: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # No redirect followed, nothing unpacked, no cookie sent back, no proxy used, no name quoted anew.
+    # It follows no redirect, decodes no content, sends no cookie back, uses no proxy and does not quote the name
+    # again.
     monkeypatch.setenv("http_proxy", "http://127.0.0.1:1")
-    async with Stand(*boxes(answer), module=Plan("a")) as stand:
+    async with Stand(*boxes(response), module=Plan("a")) as stand:
         for _ in range(2):
-            got = await stand.ask(target="/rpc/waveform/a%7Eb%2B")
-            assert (got[0], got[2]) == (status, body)
+            received = await stand.ask(target="/rpc/waveform/a%7Eb%2B")
+            assert (received[0], received[2]) == (status, body)
         for first, fields, _ in stand.backends[0].seen:
             assert first == "GET /data/waveform/a~b%2B/0 HTTP/1.1"
             assert set(fields) == {"Host", "X-Trace", "X-Patience"}
 
 
 @run
-async def test_connections_to_backends_are_bounded_and_a_full_pool_is_no_backend_failure() -> None:
-    async with Stand(StandBackend("a", HANG), module=(plan := Plan("a")), sockets=8) as stand:  # three links
-        asked = [stand.ask(wait_ms=2000) for _ in range(4)]
+async def test_pool_bounds_connections_and_a_full_pool_is_not_a_backend_failure() -> None:
+    async with Stand(StandBackend("a", HANG), module=(plan := Plan("a")), sockets=8) as stand:  # three connections
+        pending_responses = [stand.ask(wait_ms=2000) for _ in range(4)]
         await until(lambda: stand.counters["depot.waits"] == 1 and len(stand.backends[0].seen) == 3)
         stand.clock.advance(1999)
-        assert {(await task)[0] for task in asked} == {504} and stand.backends[0].connections == 3
+        assert {(await task)[0] for task in pending_responses} == {504} and stand.backends[0].connections == 3
         await until(lambda: not stand.engine._attempts.in_flight)
         results = [event.result for event in plan.heard if isinstance(event, i.Outcome)]
         assert sorted(results) == ["moot", "timeout", "timeout", "timeout"]
 
 
 @run
-async def test_a_connection_is_given_up_for_another_backend_and_with_its_own() -> None:
-    async with Stand(StandBackend("a"), StandBackend("b"), module=Plan("a"), sockets=3) as stand:  # one link
+async def test_idle_connection_is_closed_for_another_backend_and_when_its_backend_is_removed() -> None:
+    async with Stand(StandBackend("a"), StandBackend("b"), module=Plan("a"), sockets=3) as stand:  # one connection
         assert (await stand.ask())[0] == 200
         stand.module.stores = ("b",)
         assert (await stand.ask())[0] == 200
-        await until(lambda: stand.backends[0].closed)  # to make way
+        await until(lambda: stand.backends[0].closed)  # closed to make room
         stand.engine.post(EndpointListUpdate("changes", (stand.backends[1].entry("gone"),)))
-        await until(lambda: stand.backends[1].closed)  # another one may take its address
+        await until(lambda: stand.backends[1].closed)  # another backend may take its address
 
 
 @run
-async def test_a_health_check_reads_the_load_and_a_silent_one_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_health_check_reads_load_report_and_times_out_without_response(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beechslip.platform.backends.HEALTH_CHECK_TIMEOUT_MS", 1.0)
     async with Stand(StandBackend("a", HANG), module=Plan()) as stand:
         assert await stand.client.health_check(stand.backends[0].entry()) == AttemptResult("timeout")
--- a/tests/test_changelog.py
+++ b/tests/test_changelog.py
@@ -1,4 +1,4 @@
-"""The change log's reader against logs that end, repeat, skip, fall silent or can't be read, on real sockets."""
+"""The change log's reader on real sockets, with logs that end, repeat, skip events, fall silent or can't be read."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from lab.stand import HANG, RESET, StandBackend, listening, read_message, run, until
 
 
-class ScriptedLog(StandBackend):
-    """A change log whose script is one complete stream a connection."""
+class ScriptedChangeLog(StandBackend):
+    """A change log whose script holds one complete stream per connection."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.seen.append(await read_message(reader))
@@ -29,11 +29,11 @@
         writer.close()
 
 
-def purge(seq: int) -> bytes:
+def purge_event(seq: int) -> bytes:
     return b'id: %d\ndata: {"seq":%d,"invalidate":{"object":"%d","time":1}}\n\n' % (seq, seq, seq)
 
 
-def complete_list(seq: int, *names: str) -> bytes:
+def complete_list_event(seq: int, *names: str) -> bytes:
     entries = [{"name": name, "address": "127.0.0.1:9", "status": "active"} for name in names]
     event = {"seq": seq, "fleet": {"index": 1, "snapshot": True, "endpoints": entries}}
     return f"id: {seq}\ndata: {json.dumps(event)}\n\n".encode()
@@ -46,114 +46,131 @@
 
 
 @contextlib.asynccontextmanager
-async def following(log: StandBackend) -> AsyncIterator[tuple[ChangeLogReader, list[Any]]]:
-    """A change log reader that has reached 3, with three backends known, and what it posts."""
-    got: list[Any] = []
-    async with listening(log):
-        host, port = log.address.split(":")
+async def running_reader(fake_log: StandBackend) -> AsyncIterator[tuple[ChangeLogReader, list[Any]]]:
+    """Run a change log reader that has reached 3 and knows three backends. Yield it and what it posts."""
+    posted: list[Any] = []
+    async with listening(fake_log):
+        host, port = fake_log.address.split(":")
         known = [EndpointListUpdate("remembered", tuple(Backend(name, "127.0.0.1:9") for name in "abc"))]
-        one = ChangeLogReader(Address(host, int(port)), 3, got.append, Counters(), known)
-        task = asyncio.create_task(one.run())
+        reader = ChangeLogReader(Address(host, int(port)), 3, posted.append, Counters(), known)
+        task = asyncio.create_task(reader.run())
         try:
-            yield one, got
+            yield reader, posted
         finally:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
 
 @run
-async def test_the_change_log_is_watched_on_after_it_ends_and_each_event_posted_once() -> None:
+async def test_reader_resumes_after_stream_ends_and_posts_each_event_once() -> None:
     def event(seq: int) -> bytes:
         return b'id: %d\ndata: {"seq":%d,"invalidate":{"bucket":%d,"time":9}}\n\n' % (seq, seq, seq)
 
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
-    log = StandBackend("log", head + event(4) + event(5) + RESET, head + event(5) + event(6))
+    fake_log = StandBackend("log", head + event(4) + event(5) + RESET, head + event(5) + event(6))
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        log.seen.append(await read_message(reader))
-        writer.write(log.script.pop(0) if log.script else head)
-        if log.script:
+        fake_log.seen.append(await read_message(reader))
+        writer.write(fake_log.script.pop(0) if fake_log.script else head)
+        if fake_log.script:
             writer.close()
 
-    log.serve = serve  # type: ignore[method-assign]
+    fake_log.serve = serve  # type: ignore[method-assign]
     posted: list[Any] = []
-    async with listening(log):
-        host, port = log.address.split(":")
+    async with listening(fake_log):
+        host, port = fake_log.address.split(":")
         task = asyncio.create_task(ChangeLogReader(Address(host, int(port)), 3, posted.append, Counters()).run())
         await until(lambda: len(posted) == 3)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-    assert [one.group for one in posted] == [4, 5, 6]
-    assert [fields["Last-Event-ID"] for _, fields, _ in log.seen] == ["3", "5"]
+    assert [update.group for update in posted] == [4, 5, 6]
+    assert [fields["Last-Event-ID"] for _, fields, _ in fake_log.seen] == ["3", "5"]
 
 
 @run
-async def test_a_silent_change_log_is_reconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_reader_reconnects_to_silent_change_log(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beechslip.platform.changelog.SILENCE_TIMEOUT_S", 0.01)
-    log = StandBackend("log", HANG)
-    async with listening(log):
-        host, port = log.address.split(":")
+    fake_log = StandBackend("log", HANG)
+    async with listening(fake_log):
+        host, port = fake_log.address.split(":")
         task = asyncio.create_task(ChangeLogReader(Address(host, int(port)), 3, lambda _: None, Counters()).run())
-        await until(lambda: len(log.seen) > 1)
+        await until(lambda: len(fake_log.seen) > 1)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
 
 @run
 @pytest.mark.parametrize(
-    ("streams", "expected", "asked"),
+    ("streams", "expected", "requested_after"),
     [
-        ([purge(4) + purge(5)[:30], purge(5)], "45", ["3", "4"]),  # breaks off partway through an event
-        ([purge(4) * 2 + purge(5), b""], "45", ["3", "5"]),  # writes events twice
         (
-            [purge(5), purge(4) + purge(5)],
+            [purge_event(4) + purge_event(5)[:30], purge_event(5)],
+            "45",
+            ["3", "4"],
+        ),  # the stream breaks off partway through an event
+        ([purge_event(4) * 2 + purge_event(5), b""], "45", ["3", "5"]),  # the stream sends events twice
+        (
+            [purge_event(5), purge_event(4) + purge_event(5)],
             "54",
             ["3", "3"],
-        ),  # a gap: requested again, and its updates are binding at once
-        ([purge(5), purge(5) + purge(6)], "56", ["3", "3"]),  # a gap that stays is no gap
-        ([b"id: 4\ndata: {\n\n" + purge(5)] * 2, "5", ["3", "3"]),  # can't be read, twice: passed over
+        ),  # a gap: events are requested again, and the updates after it are binding at once
+        ([purge_event(5), purge_event(5) + purge_event(6)], "56", ["3", "3"]),  # a gap that remains is accepted
+        ([b"id: 4\ndata: {\n\n" + purge_event(5)] * 2, "5", ["3", "3"]),  # unreadable twice: the event is skipped
     ],
 )
-async def test_each_event_is_posted_once_and_at_once_whatever_the_stream_does(
-    streams: list[bytes], expected: str, asked: list[str]
+async def test_reader_posts_each_event_once_from_broken_repeating_or_gapped_streams(
+    streams: list[bytes], expected: str, requested_after: list[str]
 ) -> None:
-    log, got = ScriptedLog("log", *streams, b""), list[Any]()
-    async with listening(log):
-        host, port = log.address.split(":")
-        task = asyncio.create_task(ChangeLogReader(Address(host, int(port)), 3, got.append, Counters()).run())
-        await until(lambda: len(log.seen) > len(streams))
+    fake_log, posted = ScriptedChangeLog("log", *streams, b""), list[Any]()
+    async with listening(fake_log):
+        host, port = fake_log.address.split(":")
+        task = asyncio.create_task(ChangeLogReader(Address(host, int(port)), 3, posted.append, Counters()).run())
+        await until(lambda: len(fake_log.seen) > len(streams))
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-    assert "".join(one.object for one in got) == expected
-    assert [fields["Last-Event-ID"] for _, fields, _ in log.seen][:2] == asked
+    assert "".join(update.object for update in posted) == expected
+    assert [fields["Last-Event-ID"] for _, fields, _ in fake_log.seen][:2] == requested_after
 
 
 @run
 @pytest.mark.parametrize(
     ("streams", "expected"),
     [
-        ([complete_list(4, "a"), complete_list(4, *"abcd") + purge(5)], ["abcd", "5"]),  # shrunken once: never taken
-        ([complete_list(4, "a"), complete_list(4, "a") + purge(5)], ["a", "5"]),  # repeated: it is so
-        ([complete_list(4, "a"), b""], ["a"]),  # can't be asked for again: taken before the drain's grace is over
-        ([complete_list(4, *"abd"), b""], ["abd"]),  # most are still there
-        ([complete_list(4, *"abcd") * 2 + purge(5), b""], ["abcd", "5"]),  # repeated
+        (
+            [complete_list_event(4, "a"), complete_list_event(4, *"abcd") + purge_event(5)],
+            ["abcd", "5"],
+        ),  # shortened once: never applied
+        (
+            [complete_list_event(4, "a"), complete_list_event(4, "a") + purge_event(5)],
+            ["a", "5"],
+        ),  # repeated: accepted
+        (
+            [complete_list_event(4, "a"), b""],
+            ["a"],
+        ),  # can't be requested again: applied before the drain grace is over
+        ([complete_list_event(4, *"abd"), b""], ["abd"]),  # most backends are still listed
+        (
+            [complete_list_event(4, *"abcd") * 2 + purge_event(5), b""],
+            ["abcd", "5"],
+        ),  # the stream sends the list twice
     ],
 )
-async def test_a_complete_list_that_omits_most_backends_is_requested_again(
+async def test_reader_requests_complete_list_again_that_omits_most_backends(
     streams: list[bytes], expected: list[str]
 ) -> None:
-    log, got, counters = ScriptedLog("log", *streams, b""), list[Any](), Counters()
+    fake_log, posted, counters = ScriptedChangeLog("log", *streams, b""), list[Any](), Counters()
     known = [EndpointListUpdate("remembered", tuple(Backend(name, "127.0.0.1:9") for name in "abcd"))]
-    async with listening(log):
-        host, port = log.address.split(":")
-        task = asyncio.create_task(ChangeLogReader(Address(host, int(port)), 3, got.append, counters, known).run())
-        await until(lambda: len(got) == len(expected))
+    async with listening(fake_log):
+        host, port = fake_log.address.split(":")
+        task = asyncio.create_task(ChangeLogReader(Address(host, int(port)), 3, posted.append, counters, known).run())
+        await until(lambda: len(posted) == len(expected))
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
     assert [
-        "".join(d.name for d in one.backends) if isinstance(one, EndpointListUpdate) else one.object for one in got
+        "".join(d.name for d in update.backends) if isinstance(update, EndpointListUpdate) else update.object
+        for update in posted
     ] == expected
-    assert ("changelog.doubtful" in counters.line()) == (streams[0] == complete_list(4, "a"))
+    assert ("changelog.doubtful" in counters.line()) == (streams[0] == complete_list_event(4, "a"))
 
 
 @run
@@ -161,52 +178,55 @@
     "event",
     [
         list_event(9, True, a="active", b="active", c="leaving"),  # a complete list after a gap
-        list_event(9, False, c="leaving"),  # a change after one
-        list_event(4, True, c="leaving"),  # a complete list that omits most
+        list_event(9, False, c="leaving"),  # a list of changes after a gap
+        list_event(4, True, c="leaving"),  # a complete list that omits most backends
     ],
 )
-async def test_a_drain_in_an_event_that_is_requested_again_is_binding_though_the_log_ends_then(event: bytes) -> None:
-    async with following(ScriptedLog("log", event, b"")) as (_, got):
-        await until(lambda: got)
-        assert got[0] == EndpointListUpdate("changes", (Backend("c", "127.0.0.1:9", state="draining"),))
+async def test_drain_in_event_requested_again_is_posted_although_the_log_ends(event: bytes) -> None:
+    async with running_reader(ScriptedChangeLog("log", event, b"")) as (_, posted):
+        await until(lambda: posted)
+        assert posted[0] == EndpointListUpdate("changes", (Backend("c", "127.0.0.1:9", state="draining"),))
 
 
 @run
-async def test_an_older_event_does_not_undo_a_drain_of_a_later_one() -> None:
+async def test_older_event_does_not_undo_drain_of_a_later_event() -> None:
     repeated = list_event(4, False, c="active") + list_event(5, False, c="leaving") + list_event(6, False, c="active")
-    async with following(ScriptedLog("log", list_event(5, False, c="leaving"), repeated, b"")) as (_, got):
-        await until(lambda: len(got) == 4)
-        assert [one.backends[0].state for one in got] == ["draining", "draining", "draining", "ready"]
+    async with running_reader(ScriptedChangeLog("log", list_event(5, False, c="leaving"), repeated, b"")) as (
+        _,
+        posted,
+    ):
+        await until(lambda: len(posted) == 4)
+        assert [update.backends[0].state for update in posted] == ["draining", "draining", "draining", "ready"]
 
 
 @run
 @pytest.mark.parametrize("head", [b"", b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"])
-async def test_a_watch_that_is_silent_from_its_first_second_is_reconnected_and_the_drain_of_the_gap_posted(
+async def test_reader_reconnects_if_stream_is_silent_from_the_start_and_posts_missed_drain(
     monkeypatch: pytest.MonkeyPatch, head: bytes
 ) -> None:
     monkeypatch.setattr("beechslip.platform.changelog.SILENCE_TIMEOUT_S", 0.05)
 
-    class Silent(ScriptedLog):
+    class SilentChangeLog(ScriptedChangeLog):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if self.seen:
                 await super().serve(reader, writer)
                 return
             self.seen.append(await read_message(reader))
             writer.write(head)
-            await reader.read()  # open, until it is left
+            await reader.read()  # open until the reader leaves
 
-    async with following(log := Silent("log", list_event(4, False, c="leaving"))) as (_, got):
-        await until(lambda: got)
-        assert got[0].backends[0].state == "draining"
-        assert [fields["Last-Event-ID"] for _, fields, _ in log.seen[:2]] == ["3", "3"]
+    async with running_reader(fake_log := SilentChangeLog("log", list_event(4, False, c="leaving"))) as (_, posted):
+        await until(lambda: posted)
+        assert posted[0].backends[0].state == "draining"
+        assert [fields["Last-Event-ID"] for _, fields, _ in fake_log.seen[:2]] == ["3", "3"]
 
 
 @run
 @pytest.mark.parametrize("end", [b"\n", b"\r\n", b"\r"])
-async def test_events_are_read_in_all_their_forms_and_pieces(end: bytes) -> None:
+async def test_reader_parses_bytewise_events_with_any_line_end(end: bytes) -> None:
     event = b'\xef\xbb\xbf: hello\nid:4\nevent: x\ndata:{"seq":4,\ndata:"invalidate":{"object":"4","time":1}}\n\n'
 
-    class Pieces(StandBackend):
+    class BytewiseChangeLog(StandBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
@@ -215,46 +235,48 @@
                 await asyncio.sleep(0)
             await reader.read()
 
-    async with following(Pieces("log")) as (_, got):
-        await until(lambda: got)
-        assert [one.object for one in got] == ["4"]
+    async with running_reader(BytewiseChangeLog("log")) as (_, posted):
+        await until(lambda: posted)
+        assert [update.object for update in posted] == ["4"]
 
 
 @run
-async def test_an_answer_of_the_change_log_that_nobody_thought_of_ends_no_proxy(
+async def test_reader_continues_after_unexpected_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def broken(_: object) -> Any:
-        raise RuntimeError("unthought of")
+    def raise_unexpected_error(_: object) -> Any:
+        raise RuntimeError("unexpected response")
 
-    async with following(log := ScriptedLog("log", list_event(4, False, c="leaving"))) as (_, got):
+    async with running_reader(fake_log := ScriptedChangeLog("log", list_event(4, False, c="leaving"))) as (_, posted):
         with monkeypatch.context() as patched:
-            patched.setattr("beechslip.platform.changelog.parse_server_sent_event", broken)
-            await until(lambda: len(log.seen) > 1)
-        await until(lambda: got)
+            patched.setattr("beechslip.platform.changelog.parse_server_sent_event", raise_unexpected_error)
+            await until(lambda: len(fake_log.seen) > 1)
+        await until(lambda: posted)
 
 
 @run
-async def test_events_received_when_the_log_moves_are_posted(monkeypatch: pytest.MonkeyPatch) -> None:
-    feed = StreamReader.feed_data
-    async with following(ScriptedLog("log", list_event(4, False, c="leaving"), b"")) as (one, got):
+async def test_events_received_as_the_log_moves_are_posted(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_feed_data = StreamReader.feed_data
+    async with running_reader(ScriptedChangeLog("log", list_event(4, False, c="leaving"), b"")) as (reader, posted):
 
-        def crossing(stream: StreamReader, data: bytes, *more: Any) -> Any:
-            one.set_address(Address("127.0.0.1", 9))  # in the step in which the event is read; nobody is there
-            return feed(stream, data, *more)
+        def move_log_then_feed(stream: StreamReader, data: bytes, *more: Any) -> Any:
+            reader.set_address(
+                Address("127.0.0.1", 9)
+            )  # in the step in which the event is read; nothing listens there
+            return original_feed_data(stream, data, *more)
 
-        monkeypatch.setattr(StreamReader, "feed_data", crossing)
-        await until(lambda: got)
-        assert got[0].backends[0].state == "draining"
+        monkeypatch.setattr(StreamReader, "feed_data", move_log_then_feed)
+        await until(lambda: posted)
+        assert posted[0].backends[0].state == "draining"
 
 
 @run
 @pytest.mark.parametrize("number", [4, 9])
-async def test_a_purge_in_an_event_that_is_requested_again_is_binding_though_the_log_ends_then(number: int) -> None:
+async def test_purge_in_event_requested_again_is_posted_although_the_log_ends(number: int) -> None:
     event = {"seq": number, "invalidate": {"object": "7f3a", "time": 1}}
     if number == 4:  # with a complete list that omits most backends
         event["fleet"] = {"index": 1, "snapshot": True, "endpoints": []}
     event_bytes = f"id: {number}\ndata: {json.dumps(event)}\n\n".encode()
-    async with following(ScriptedLog("log", event_bytes, b"")) as (_, got):
-        await until(lambda: got)
-        assert got[0] == PurgeReceived("7f3a", 0, 1.0)
+    async with running_reader(ScriptedChangeLog("log", event_bytes, b"")) as (_, posted):
+        await until(lambda: posted)
+        assert posted[0] == PurgeReceived("7f3a", 0, 1.0)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections: what is pending when one ends, limits, pipelining and bad input, on real sockets."""
+"""Client connections on real sockets: pending requests when one closes, limits, pipelining and bad input."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     run,
     until,
 )
-from tests.connection_helpers import GatedBackend, after_reading, client, connections, get_request_bytes
+from tests.connection_helpers import GatedBackend, client, connections, get_request_bytes, run_after_reading
 from tests.test_rules import ERROR, Plan, boxes
 
 
@@ -32,7 +32,7 @@
     ("ending", "status"),
     [("sweep", 200), ("idle", 200), ("evict", 200), ("drain", 503), ("handing over", 200), ("diverted", 200)],
 )
-async def test_a_request_received_in_the_moment_of_a_close_is_answered(
+async def test_request_received_while_its_connection_is_to_be_closed_is_answered(
     monkeypatch: pytest.MonkeyPatch, ending: str, status: int
 ) -> None:
     async with Stand(StandBackend("a"), module=Plan("a")) as stand:
@@ -42,7 +42,7 @@
             server._max_connections = 1
             server.admit(connections(stand)[-1])
 
-        acts: dict[str, Callable[[ClientConnection], object]] = {
+        actions: dict[str, Callable[[ClientConnection], object]] = {
             "sweep": lambda _: stand.clock.advance(REQUEST_READ_TIMEOUT_MS + 300),
             "idle": lambda _: server.close_idle(),
             "evict": evict,
@@ -50,86 +50,91 @@
             "handing over": lambda _: stand.front.stop_accepting(),
             "diverted": lambda _: (stand.front.divert_clients(), stand.clock.advance(700)),
         }
-        async with client(stand.port) as one, client(stand.port):
+        async with client(stand.port) as raw_client, client(stand.port):
             await until(lambda: len(connections(stand)) == 2)
-            after_reading(monkeypatch, acts[ending])
-            one.send(get_request_bytes())
-            assert await one.status() == status
+            run_after_reading(monkeypatch, actions[ending])
+            raw_client.send(get_request_bytes())
+            assert await raw_client.read_status() == status
             assert stand.counters["answered.served"] == (status == 200)
 
 
 @run
-async def test_a_request_read_before_its_connections_end_and_handled_after_it_is_not_forwarded(
+async def test_request_handled_after_its_connection_ended_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with Stand(backend := StandBackend("a"), module=Plan("a")) as stand:
-        async with client(stand.port) as one:
-            after_reading(monkeypatch, lambda connection: connection.force_close())
-            one.send(get_request_bytes())
-            assert await one.ended()
+        async with client(stand.port) as raw_client:
+            run_after_reading(monkeypatch, lambda connection: connection.force_close())
+            raw_client.send(get_request_bytes())
+            assert await raw_client.is_closed_by_server()
         await until(lambda: not connections(stand))
         assert not backend.seen and stand.counters["taken"] == 0
 
 
 @run
 @pytest.mark.parametrize("ending", ["drain", "handing over", "diverted"])
-async def test_pipelined_requests_are_answered_before_the_connection_ends(ending: str) -> None:
-    async with Stand(backend := GatedBackend("a"), module=Plan("a")) as stand, client(stand.port) as one:
-        one.send(get_request_bytes() + get_request_bytes() + get_request_bytes()[:30])
+async def test_pipelined_requests_are_answered_before_the_connection_closes(ending: str) -> None:
+    async with Stand(backend := GatedBackend("a"), module=Plan("a")) as stand, client(stand.port) as raw_client:
+        raw_client.send(get_request_bytes() + get_request_bytes() + get_request_bytes()[:30])
         await until(lambda: backend.seen)
         if ending == "diverted":
             stand.front.divert_clients()
             stand.clock.advance(700)
         else:
             (stand.front.drain if ending == "drain" else stand.front.stop_accepting)()
-        settling = asyncio.create_task(stand.front.finish_pending_work())
+        finishing = asyncio.create_task(stand.front.finish_pending_work())
         backend.gate.set()
         refused = 503 if ending == "drain" else 200
-        assert [await one.status(), await one.status()] == [200, refused]
-        assert not settling.done()
-        one.send(get_request_bytes()[30:])
-        assert await one.status() == refused and await one.ended()
-        await settling
+        assert [await raw_client.read_status(), await raw_client.read_status()] == [200, refused]
+        assert not finishing.done()
+        raw_client.send(get_request_bytes()[30:])
+        assert await raw_client.read_status() == refused and await raw_client.is_closed_by_server()
+        await finishing
 
 
 @run
-@pytest.mark.parametrize("together", [True, False])
-async def test_commands_at_once_and_byte_by_byte_are_each_answered_in_their_order(together: bool) -> None:
-    answers = [OK.replace(b"waves", b"wave%d" % n) for n in range(3)]
-    async with Stand(StandBackend("a", *answers), module=Plan("a")) as stand, client(stand.port) as one:
-        said = b"".join(get_request_bytes(f"/rpc/waveform/{n}") for n in range(3))
-        if together:
-            one.send(said)
+@pytest.mark.parametrize("is_sent_at_once", [True, False])
+async def test_pipelined_requests_sent_at_once_or_bytewise_are_answered_in_order(is_sent_at_once: bool) -> None:
+    responses = [OK.replace(b"waves", b"wave%d" % n) for n in range(3)]
+    async with Stand(StandBackend("a", *responses), module=Plan("a")) as stand, client(stand.port) as raw_client:
+        sent_bytes = b"".join(get_request_bytes(f"/rpc/waveform/{n}") for n in range(3))
+        if is_sent_at_once:
+            raw_client.send(sent_bytes)
         else:
-            for n in range(len(said)):
-                one.send(said[n : n + 1])
+            for n in range(len(sent_bytes)):
+                raw_client.send(sent_bytes[n : n + 1])
                 await asyncio.sleep(0)
-        assert [(await read_message(one.reader))[2] for _ in range(3)] == [b"wave0", b"wave1", b"wave2"]
+        assert [(await read_message(raw_client.reader))[2] for _ in range(3)] == [b"wave0", b"wave1", b"wave2"]
         (connection,) = connections(stand)
         await until(lambda: not connection.has_pending_request)
-        assert not connection.has_partial_request and not connection.has_more_input  # nothing holds up an end
+        assert (
+            not connection.has_partial_request and not connection.has_more_input
+        )  # nothing delays closing the connection
 
 
 @run
-async def test_the_time_of_a_command_that_queued_runs_from_its_own_last_byte() -> None:
-    async with Stand(backend := GatedBackend("a"), module=(plan := Plan("a"))) as stand, client(stand.port) as one:
-        one.send(get_request_bytes() + get_request_bytes(wait_ms=2000))
+async def test_queued_request_time_runs_from_its_own_last_byte() -> None:
+    async with (
+        Stand(backend := GatedBackend("a"), module=(plan := Plan("a"))) as stand,
+        client(stand.port) as raw_client,
+    ):
+        raw_client.send(get_request_bytes() + get_request_bytes(wait_ms=2000))
         await until(lambda: backend.seen)
         stand.clock.advance(1500)
-        one.send(get_request_bytes())  # bytes that are not the second one's
+        raw_client.send(get_request_bytes())  # bytes that do not belong to the second request
         await until(lambda: connections(stand)[0].last_read_ms == stand.clock.now_ms())
         backend.gate.set()
-        assert [await one.status(), await one.status()] == [200, 200]
-        left = [round(event.time_left, 1) for event in plan.heard if isinstance(event, i.Request)]
-        assert left[:2] == [6.0, 0.5]
+        assert [await raw_client.read_status(), await raw_client.read_status()] == [200, 200]
+        times_left = [round(event.time_left, 1) for event in plan.heard if isinstance(event, i.Request)]
+        assert times_left[:2] == [6.0, 0.5]
 
 
 @run
-async def test_an_answer_that_nobody_reads_gives_its_descriptor_back() -> None:
-    big = OK.replace(b"5\r\n", b"200000\r\n").replace(b"waves", b"w" * 200_000)
-    async with Stand(StandBackend("a", big), module=Plan("a")) as stand, client(stand.port) as one:
-        one.reader._transport.pause_reading()  # type: ignore[attr-defined]
-        one.send(b"".join(get_request_bytes(f"/rpc/waveform/{n}") for n in range(60)))
+async def test_connection_with_unread_response_releases_its_descriptor() -> None:
+    large_response = OK.replace(b"5\r\n", b"200000\r\n").replace(b"waves", b"w" * 200_000)
+    async with Stand(StandBackend("a", large_response), module=Plan("a")) as stand, client(stand.port) as raw_client:
+        raw_client.reader._transport.pause_reading()  # type: ignore[attr-defined]
+        raw_client.send(b"".join(get_request_bytes(f"/rpc/waveform/{n}") for n in range(60)))
         await until(lambda: connections(stand) and connections(stand)[0].writing_paused)
         (connection,) = connections(stand)
         stand.clock.advance(8_000)
@@ -137,43 +142,44 @@
 
 
 @run
-@pytest.mark.parametrize("further", [False, True])
-async def test_a_disconnected_client_gets_no_attempt_however_late_the_engine_learns_of_it(further: bool) -> None:
-    first, second = GatedBackend("a", ERROR), StandBackend("b")
-    async with Stand(first, second, module=Plan("a", "b") if further else Plan("b")) as stand:
+@pytest.mark.parametrize("is_retry", [False, True])
+async def test_disconnected_client_gets_no_attempt_even_before_the_engine_is_notified(is_retry: bool) -> None:
+    first_backend, second_backend = GatedBackend("a", ERROR), StandBackend("b")
+    async with Stand(first_backend, second_backend, module=Plan("a", "b") if is_retry else Plan("b")) as stand:
         postponed: list[object] = []
-        dial, dialled = asyncio.Event(), stand.client._pool._dial
+        dial_permitted, original_dial = asyncio.Event(), stand.client._pool._dial
 
-        async def late(key: Any) -> Any:
-            await dial.wait()
-            return await dialled(key)
+        async def dial_late(key: Any) -> Any:
+            await dial_permitted.wait()
+            return await original_dial(key)
 
         post = stand.front._post
         stand.front._post = lambda message: (  # type: ignore[method-assign]
             postponed.append(message) if isinstance(message, ClientDisconnected) else post(message)
         )
-        if not further:
-            stand.client._pool._dial = late  # type: ignore[method-assign]
-        async with client(stand.port) as one:
-            one.send(get_request_bytes())
-            await until(lambda: first.seen if further else stand.counters["taken"])
+        if not is_retry:
+            stand.client._pool._dial = dial_late  # type: ignore[method-assign]
+        async with client(stand.port) as raw_client:
+            raw_client.send(get_request_bytes())
+            await until(lambda: first_backend.seen if is_retry else stand.counters["taken"])
             (connection,) = connections(stand)
         await until(lambda: connection.is_closed_by_client and postponed)
-        first.gate.set()
-        dial.set()
+        first_backend.gate.set()
+        dial_permitted.set()
         await until(lambda: stand.counters["departed"])
         for message in postponed:
             post(message)
         await until(lambda: not stand.engine._requests)
-        assert not second.seen
+        assert not second_backend.seen
 
 
 @run
-async def test_the_end_of_a_client_with_many_pipelined_requests_is_noticed_at_once() -> None:
-    # Past aiohttp's queue its transport would no longer be read, and the end not be seen.
+async def test_disconnect_of_client_with_many_pipelined_requests_is_detected_at_once() -> None:
+    # Once aiohttp's queue of requests is full, its transport would not be read any more, and the client's end would
+    # not be detected.
     async with Stand(backend := GatedBackend("a"), module=Plan("a")) as stand:
-        async with client(stand.port) as one:
-            one.send(b"".join(get_request_bytes() for _ in range(80)))
+        async with client(stand.port) as raw_client:
+            raw_client.send(b"".join(get_request_bytes() for _ in range(80)))
             await until(lambda: backend.seen)
         await until(lambda: stand.counters["left"])
         assert len(backend.seen) == 1 and not stand.engine._requests
@@ -198,16 +204,16 @@
         (b"PUT /rpc/pick-submit/7f HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400),
     ],
 )
-async def test_bad_input_gets_a_4xx_and_the_program_goes_on(raw: bytes, status: int) -> None:
+async def test_bad_input_gets_a_4xx_and_later_requests_are_served(raw: bytes, status: int) -> None:
     async with Stand(*boxes()) as stand:
         assert (await fetch(stand.port, raw=raw))[0] == status
         assert (await stand.ask())[0] == 200 and stand.counters["bad_request"] == 1
-        assert stand.counters["taken"] == 1  # and nothing of it was passed on
+        assert stand.counters["taken"] == 1  # no part of the bad input was forwarded
 
 
 @run
 @pytest.mark.parametrize(
-    ("request_bytes", "ms", "count"),
+    ("request_bytes", "ms", "counter"),
     [
         (b"", 2500, "closed.partial"),
         (b"GET /rpc/plot/7f HTTP/1.1\r\nHo", 2500, "closed.partial"),
@@ -220,46 +226,50 @@
         (b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n", 5300, "closed.idle"),
     ],
 )
-async def test_a_connection_without_a_request_or_idle_is_closed(request_bytes: bytes, ms: float, count: str) -> None:
+async def test_connection_without_complete_request_or_idle_is_closed(
+    request_bytes: bytes, ms: float, counter: str
+) -> None:
     async with Stand(*boxes()) as stand:
         reader, writer = await asyncio.open_connection("127.0.0.1", stand.port)
         writer.write(request_bytes)
-        if count == "closed.idle":
+        if counter == "closed.idle":
             await reader.readuntil(b"ok")
         await until(lambda: stand.front._server._open_connections)
         stand.clock.advance(ms - 700)
-        assert not reader.at_eof() and stand.counters[count] == 0
+        assert not reader.at_eof() and stand.counters[counter] == 0
         stand.clock.advance(700)
-        with contextlib.suppress(ConnectionResetError):  # closed with bytes unread
+        with contextlib.suppress(ConnectionResetError):  # closed while bytes were unread
             assert await reader.read() == b""
-        assert stand.counters[count] == 1
+        assert stand.counters[counter] == 1
         writer.transport.abort()
 
 
 @run
-async def test_over_the_bound_the_longest_idle_connection_is_evicted_and_never_an_open_request() -> None:
+async def test_full_server_evicts_longest_idle_connection_but_never_a_pending_request() -> None:
     async with Stand(*boxes(HANG), sockets=6) as stand:  # enough for three clients
-        asked = stand.ask(Req_Id="9b1f03aa5c7e2d41")
+        pending_response = stand.ask(Req_Id="9b1f03aa5c7e2d41")
         await until(lambda: stand.counters["taken"])
-        idle = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]()
+        idle_connections = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]()
         for _ in range(4):
             stand.clock.advance(10)
-            idle.append(await asyncio.open_connection("127.0.0.1", stand.port))
+            idle_connections.append(await asyncio.open_connection("127.0.0.1", stand.port))
             await until(
-                lambda: len(stand.front._server._open_connections) + stand.counters["closed.room"] > len(idle)
+                lambda: (
+                    len(stand.front._server._open_connections) + stand.counters["closed.room"] > len(idle_connections)
+                )
             )
-        assert [await reader.read() for reader, _ in idle[:2]] == [b"", b""]
+        assert [await reader.read() for reader, _ in idle_connections[:2]] == [b"", b""]
         assert stand.counters["closed.room"] == 2 and len(stand.front._server._open_connections) == 3
-        assert not asked.done()
-        asked.cancel()
-        for _, writer in idle:
+        assert not pending_response.done()
+        pending_response.cancel()
+        for _, writer in idle_connections:
             writer.transport.abort()
 
 
 @run
-async def test_a_draining_front_refuses_new_requests_and_answers_open_ones() -> None:
+async def test_draining_front_refuses_new_requests_and_answers_pending_ones() -> None:
     async with Stand(*boxes(HANG), module=Plan("a")) as stand:
-        asked = stand.ask(wait_ms=2000)
+        pending_response = stand.ask(wait_ms=2000)
         await until(lambda: stand.counters["taken"])
         reader, writer = await asyncio.open_connection("127.0.0.1", stand.port)
         await until(lambda: len(stand.front._server._open_connections) == 2)
@@ -267,5 +277,5 @@
         writer.write(b"GET /rpc/plot/7f HTTP/1.1\r\nHost: x\r\nReq-Id: 9b1f03aa5c7e2d42\r\nReq-Wait-Ms: 900\r\n\r\n")
         assert (await read_message(reader))[0].split()[1] == "503"
         stand.clock.advance(1999)
-        assert (await asked)[0] == 504 and stand.counters["taken"] == 1
+        assert (await pending_response)[0] == 504 and stand.counters["taken"] == 1
         writer.transport.abort()
--- a/tests/test_confine.py
+++ b/tests/test_confine.py
@@ -1,6 +1,6 @@
 """A confined proxy refuses what the fleet platform refuses, and its event loop still serves.
 
-Each case runs in a program of its own: an audit hook can't be taken back.
+Each case runs in a separate program, because an audit hook can't be removed.
 """
 
 from __future__ import annotations
@@ -64,11 +64,11 @@
         "pair:done",
         "loop:done",
     ]
-    assert outcomes[-2:] == ["1", "5"]  # aiohttp uses no sendfile; five forbidden calls recorded
+    assert outcomes[-2:] == ["1", "5"]  # aiohttp does not use sendfile; five forbidden calls were recorded
 
 
 def test_unconfined_process_still_starts_programs() -> None:
-    # The command line and the agent start programs by design: importing the module confines nothing.
+    # The command line and the agent start programs by design. Importing the module alone confines nothing.
     code = "import subprocess; from beechslip.platform import confine; print(subprocess.run(['true']).returncode)"
     done = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60, check=True
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -120,10 +120,10 @@
                 this.stopping.set()
                 await drained.wait()
                 backend.gate.set()
-                assert [await busy.status(), await busy.status()] == [200, 503]
+                assert [await busy.read_status(), await busy.read_status()] == [200, 503]
                 slow.send(half[40:])
-                assert await slow.status() == 503
-                assert await silent.ended()
+                assert await slow.read_status() == 503
+                assert await silent.is_closed_by_server()
                 await task
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""Where operators call: readiness, sending clients away, and the upgrade on an inherited socket."""
+"""The operators' front: readiness, diverting clients, and the upgrade on an inherited socket."""
 
 from __future__ import annotations
 
@@ -24,98 +24,104 @@
 DRAIN, ACTIVATE = ("/v1/doorman/drain", "POST"), ("/v1/doorman/activate", "POST")
 
 
-_ids = itertools.count(1 << 62)
+_request_numbers = itertools.count(1 << 62)
 
 
-async def call(port: int, path: str, method: str) -> int:
+async def call_status(port: int, path: str, method: str) -> int:
     return (await fetch(port, path, method))[0]
 
 
-async def asked_on(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Any:
-    """One request on a connection that stays open."""
+async def request_on(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Any:
+    """Send one request on a connection that stays open, and return the response."""
     writer.write(
-        b"GET /rpc/waveform/7f3a HTTP/1.1\r\nHost: a\r\nReq-Id: %016x\r\nReq-Wait-Ms: 900\r\n\r\n" % next(_ids)
+        b"GET /rpc/waveform/7f3a HTTP/1.1\r\nHost: a\r\nReq-Id: %016x\r\nReq-Wait-Ms: 900\r\n\r\n"
+        % next(_request_numbers)
     )
     return await read_message(reader)
 
 
 @run
-async def test_clients_are_diverted_and_readmitted() -> None:
-    boxes = [StandBackend("a"), StandBackend("archive", kind="origin", zone="north")]
-    async with Stand(*boxes) as stand:
-        idle, early, late = [await asyncio.open_connection("127.0.0.1", stand.port) for _ in range(3)]
-        for one in (idle, early, late):
-            assert (await asked_on(*one))[0].split()[1] == "200"
+async def test_front_diverts_and_readmits_clients() -> None:
+    backends = [StandBackend("a"), StandBackend("archive", kind="origin", zone="north")]
+    async with Stand(*backends) as stand:
+        idle_client, early_client, late_client = [
+            await asyncio.open_connection("127.0.0.1", stand.port) for _ in range(3)
+        ]
+        for client_streams in (idle_client, early_client, late_client):
+            assert (await request_on(*client_streams))[0].split()[1] == "200"
         stand.front.divert_clients()
         assert (await fetch(stand.port, "/health"))[0] == 503 and not stand.front.ready
-        # The front still sends new connections for a while: they are served, and may stay so long.
-        answer = await asked_on(*early)
-        assert answer[0].split()[1] == "200" and answer[1].get("Connection") != "close"
+        # The platform still sends new connections for a while. They are served and may stay open during that time.
+        response = await request_on(*early_client)
+        assert response[0].split()[1] == "200" and response[1].get("Connection") != "close"
         assert (await stand.ask())[0] == 200
-        boxes[0].script = [HANG]
-        asked = asyncio.create_task(asked_on(*late))
+        backends[0].script = [HANG]
+        pending_response = asyncio.create_task(request_on(*late_client))
         await until(lambda: stand.engine._requests)
         stand.clock.advance(500)
-        for reader, _ in (idle, early):
-            assert await reader.read() == b""  # nobody is held idle
-        stand.clock.advance(500)  # what was open has its answer, and then its connection ends
-        assert (await asked)[1]["Connection"] == "close" and await late[0].read() == b""
+        for reader, _ in (idle_client, early_client):
+            assert await reader.read() == b""  # idle connections are closed
+        stand.clock.advance(500)  # the pending request gets its response, and then its connection is closed
+        assert (await pending_response)[1]["Connection"] == "close" and await late_client[0].read() == b""
         stand.clock.advance(1000)
         status, fields, _ = await stand.ask()
         assert status == 503 and fields["Connection"] == "close" and "Srv-Wait-Ms" in fields
         stand.front.readmit_clients()
-        boxes[0].script = [b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"]
+        backends[0].script = [b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"]
         assert (await fetch(stand.port, "/health"))[0] == 200 and stand.front.ready
-        for _, writer in (idle, early, late):
+        for _, writer in (idle_client, early_client, late_client):
             writer.close()
 
 
 @run
-async def test_operators_are_answered_before_and_after_it_takes_clients(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        ops, names = free_port(), free_port()
-        (tmp_path / "dns.toml").write_text(f'enabled = true\nzone = "z."\nlisten = "127.0.0.1:{names}"\n')
-        await one.start(
-            EDGE_CONFIG=str(one.write_config(known=False)),
-            EDGE_OPS=f"127.0.0.1:{ops}",
+async def test_operator_calls_are_answered_before_and_after_clients_are_accepted(tmp_path: Path) -> None:
+    async with program(tmp_path) as proxy:
+        ops_port, dns_port = free_port(), free_port()
+        (tmp_path / "dns.toml").write_text(f'enabled = true\nzone = "z."\nlisten = "127.0.0.1:{dns_port}"\n')
+        await proxy.start(
+            EDGE_CONFIG=str(proxy.write_config(known=False)),
+            EDGE_OPS=f"127.0.0.1:{ops_port}",
             EDGE_DNS=str(tmp_path / "dns.toml"),
         )
-        await until(lambda: one.log.resumed_from)
-        silent = [await asyncio.open_connection("127.0.0.1", ops) for _ in range(40)]
-        assert await call(ops, *READY) == 503  # no backends yet
-        one.log.publish(1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in one.backends]})
-        while await call(ops, *READY) != 200:
+        await until(lambda: proxy.log.resumed_from)
+        silent_connections = [await asyncio.open_connection("127.0.0.1", ops_port) for _ in range(40)]
+        assert await call_status(ops_port, *READY) == 503  # no backends are known yet
+        proxy.log.publish(1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in proxy.backends]})
+        while await call_status(ops_port, *READY) != 200:
             await asyncio.sleep(0.01)
-        assert (await fetch(one.port, "/health"))[0] == 200
+        assert (await fetch(proxy.port, "/health"))[0] == 200
         query = dns.message.make_query("7f3a.waveform.z.", "SRV")
 
-        async def looked_up() -> dns.rcode.Rcode:
-            return (await dns.asyncquery.udp(query, "127.0.0.1", port=names, timeout=10)).rcode()
-
-        assert await looked_up() == dns.rcode.NOERROR
-        assert [await call(ops, *what) for what in (DRAIN, READY)] == [200, 503]
-        assert (await fetch(one.port, "/health"))[0] == 503
-        assert await looked_up() == dns.rcode.SERVFAIL  # a drained proxy hands out no box either
-        assert [await call(ops, *what) for what in (ACTIVATE, READY)] == [200, 200]
-        assert (await fetch(one.port, "/health"))[0] == 200 and await looked_up() == dns.rcode.NOERROR
-        assert [await call(ops, "/v1/readyz", "POST"), await call(ops, "/v1/none", "GET")] == [405, 404]
-        for _, writer in silent:
+        async def lookup_rcode() -> dns.rcode.Rcode:
+            return (await dns.asyncquery.udp(query, "127.0.0.1", port=dns_port, timeout=10)).rcode()
+
+        assert await lookup_rcode() == dns.rcode.NOERROR
+        assert [await call_status(ops_port, *operator_call) for operator_call in (DRAIN, READY)] == [200, 503]
+        assert (await fetch(proxy.port, "/health"))[0] == 503
+        assert await lookup_rcode() == dns.rcode.SERVFAIL  # a drained proxy hands out no box either
+        assert [await call_status(ops_port, *operator_call) for operator_call in (ACTIVATE, READY)] == [200, 200]
+        assert (await fetch(proxy.port, "/health"))[0] == 200 and await lookup_rcode() == dns.rcode.NOERROR
+        assert [
+            await call_status(ops_port, "/v1/readyz", "POST"),
+            await call_status(ops_port, "/v1/none", "GET"),
+        ] == [405, 404]
+        for _, writer in silent_connections:
             writer.close()
-        assert (await one.end())[0] == 0
+        assert (await proxy.end())[0] == 0
 
 
 @run
-async def test_an_upgrade_takes_over_on_the_inherited_socket_and_rejects_nobody(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        with socket.create_server(("127.0.0.1", one.port)) as inherited:
-            path = one.write_config()
-
-            async def start() -> tuple[asyncio.subprocess.Process, int]:
-                ops = free_port()
-                env = one.env | {
+async def test_upgrade_on_inherited_socket_rejects_no_client(tmp_path: Path) -> None:
+    async with program(tmp_path) as proxy:
+        with socket.create_server(("127.0.0.1", proxy.port)) as inherited_socket:
+            path = proxy.write_config()
+
+            async def start_process() -> tuple[asyncio.subprocess.Process, int]:
+                ops_port = free_port()
+                env = proxy.env | {
                     "EDGE_CONFIG": str(path),
-                    "EDGE_FD": str(inherited.fileno()),
-                    "EDGE_OPS": f"127.0.0.1:{ops}",
+                    "EDGE_FD": str(inherited_socket.fileno()),
+                    "EDGE_OPS": f"127.0.0.1:{ops_port}",
                 }
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -123,45 +129,45 @@
                     "beechslip",
                     cwd=ROOT,
                     env=env,
-                    pass_fds=[inherited.fileno()],
+                    pass_fds=[inherited_socket.fileno()],
                     stderr=asyncio.subprocess.DEVNULL,
                 )
                 while True:
                     try:
-                        if await call(ops, *READY) == 200:
-                            return process, ops
+                        if await call_status(ops_port, *READY) == 200:
+                            return process, ops_port
                     except (OSError, asyncio.IncompleteReadError):
                         assert process.returncode is None
                     await asyncio.sleep(0.02)
 
-            old, _ = await start()
-            client_streams = await asyncio.open_connection("127.0.0.1", one.port)
-            assert (await asked_on(*client_streams))[2] == b"waves"
-            new, _ = await start()
+            old_process, _ = await start_process()
+            client_streams = await asyncio.open_connection("127.0.0.1", proxy.port)
+            assert (await request_on(*client_streams))[2] == b"waves"
+            new_process, _ = await start_process()
             try:
-                old.send_signal(signal.SIGTERM)
-                # Its own clients are served; new ones reach the next process, if not this one.
-                assert (await asked_on(*client_streams))[2] == b"waves"
-                while old.returncode is None:
-                    assert (await fetch(one.port))[2] == b"waves"
+                old_process.send_signal(signal.SIGTERM)
+                # Its own clients are served. New ones reach the next process, if not this proxy.
+                assert (await request_on(*client_streams))[2] == b"waves"
+                while old_process.returncode is None:
+                    assert (await fetch(proxy.port))[2] == b"waves"
                     await asyncio.sleep(0.01)
-                assert old.returncode == 0
-                assert (await fetch(one.port))[2] == b"waves" and new.returncode is None
+                assert old_process.returncode == 0
+                assert (await fetch(proxy.port))[2] == b"waves" and new_process.returncode is None
             finally:
-                new.kill()
-                await asyncio.gather(new.wait(), old.wait())
+                new_process.kill()
+                await asyncio.gather(new_process.wait(), old_process.wait())
                 client_streams[1].close()
 
 
 @run
-async def test_a_proxy_that_hands_over_ends_connections_as_they_are_answered() -> None:
+async def test_front_that_stopped_accepting_closes_connections_once_answered() -> None:
     async with Stand(StandBackend("a"), StandBackend("archive", kind="origin", zone="north")) as stand:
         reader, writer = await asyncio.open_connection("127.0.0.1", stand.port)
-        await asked_on(reader, writer)
+        await request_on(reader, writer)
         stand.front.stop_accepting()
         with pytest.raises(OSError):
             await asyncio.open_connection("127.0.0.1", stand.port)
-        assert (await asked_on(reader, writer))[1]["Connection"] == "close" and await reader.read() == b""
+        assert (await request_on(reader, writer))[1]["Connection"] == "close" and await reader.read() == b""
         writer.close()
 
 
@@ -176,7 +182,7 @@
         ({"EDGE_OPS": "x"}, None, None),
     ],
 )
-def test_the_second_address_and_the_inherited_socket_are_read(
+def test_read_config_reads_operators_address_and_inherited_socket(
     tmp_path: Path, environ: dict[str, str], ops: str | None, fd: int | None
 ) -> None:
     path = tmp_path / "config.json"
@@ -190,5 +196,5 @@
     assert (str(config.ops), config.fd) == (ops, fd)
 
 
-def test_a_program_without_a_second_address_has_none(tmp_path: Path) -> None:
+def test_read_config_without_operators_address_has_none(tmp_path: Path) -> None:
     assert read_config({"EDGE_CONFIG": str(Program(tmp_path).write_config())}).ops is None
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -378,7 +378,7 @@
         )
         assert (await one.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
         one.send(b"pick")
-        assert await one.status() == 200 and backend.seen[0][2] == b"pick"
+        assert await one.read_status() == 200 and backend.seen[0][2] == b"pick"
 
 
 @run
