--- a/beechslip/dns/front.py
+++ b/beechslip/dns/front.py
@@ -118,38 +118,38 @@
             return None
         max_size = messages.udp_size_limit(query) if udp else messages.MAX_TCP_MESSAGE_BYTES
 
-        def reply(answer: dns.message.Message) -> None:
-            self._count_response(answer.rcode())
-            write(messages.to_wire(answer, max_size))
+        def send_response(response: dns.message.Message) -> None:
+            self._count_response(response.rcode())
+            write(messages.to_wire(response, max_size))
 
         try:
-            return self._answer_query(query, max_size, reply, peer)
+            return self._answer_query(query, max_size, send_response, peer)
         except Exception:
             # A packet that can be parsed but breaks an assumption must still get exactly one response.
             self._counters.add("fault.dns")
             log.exception("DNS lookup failed: peer=%s", peer)
-            reply(messages.build_response(query, dns.rcode.SERVFAIL))
+            send_response(messages.build_response(query, dns.rcode.SERVFAIL))
             return None
 
     def _answer_query(
-        self, query: dns.message.Message, max_size: int, reply: SendResponse, peer: object
+        self, query: dns.message.Message, max_size: int, send_response: SendResponse, peer: object
     ) -> tuple[str, Lookup] | None:
         rcode = messages.check_query(query)
         if rcode != dns.rcode.NOERROR:
-            reply(messages.build_response(query, rcode))
+            send_response(messages.build_response(query, rcode))
             return None
         question = messages.parse_question(query, self._zone, self._settings)
         match question.kind:
             case "refused":
-                reply(messages.build_response(query, dns.rcode.REFUSED))
+                send_response(messages.build_response(query, dns.rcode.REFUSED))
             case "nxdomain":
-                reply(messages.negative_response(query, self._zone, dns.rcode.NXDOMAIN))
+                send_response(messages.negative_response(query, self._zone, dns.rcode.NXDOMAIN))
             case "nodata":
-                reply(messages.negative_response(query, self._zone, dns.rcode.NOERROR))
+                send_response(messages.negative_response(query, self._zone, dns.rcode.NOERROR))
             case "apex":
-                reply(messages.apex_response(query, self._zone))
+                send_response(messages.apex_response(query, self._zone))
             case "route":
-                return self._post_lookup(query, question, max_size, reply, peer)
+                return self._post_lookup(query, question, max_size, send_response, peer)
         return None
 
     def _post_lookup(
@@ -157,24 +157,26 @@
         query: dns.message.Message,
         question: messages.Question,
         max_size: int,
-        reply: SendResponse,
+        send_response: SendResponse,
         peer: object,
     ) -> tuple[str, Lookup] | None:
         if not self._may_answer():
-            reply(messages.not_ready_response(query, "the list of boxes is not known yet"))
+            send_response(messages.not_ready_response(query, "the list of boxes is not known yet"))
             return None
         if not messages.fits_backend_response(query, question, max_size):
-            reply(messages.truncate_response(messages.build_response(query)))
+            send_response(messages.truncate_response(messages.build_response(query)))
             return None
         key = (peer, query.id, str(query.question[0]))
         if key in self._pending_lookups:  # a retry of a pending lookup: one hand-out serves both
             self._counters.add("dns.repeated")
             return None
         if len(self._pending_lookups) >= MAX_PENDING_LOOKUPS:
-            reply(messages.failure_response(query, "too many lookups"))
+            send_response(messages.failure_response(query, "too many lookups"))
             return None
         self._pending_lookups.add(key)
-        lookup = Lookup(query, question, self._config.hold_ms, reply, lambda: self._pending_lookups.discard(key))
+        lookup = Lookup(
+            query, question, self._config.hold_ms, send_response, lambda: self._pending_lookups.discard(key)
+        )
         client_request = ClientRequest(
             id=f"dns-{next(self._request_numbers)}",
             class_name=question.class_name,
@@ -211,7 +213,7 @@
                     size = int.from_bytes(await reader.readexactly(2), "big")
                     wire = await reader.readexactly(size)
                 posted = self.handle_packet(wire, write, writer, udp=False)
-                lookups = [one for one in [*lookups, posted] if one is not None and not one[1].is_answered]
+                lookups = [entry for entry in [*lookups, posted] if entry is not None and not entry[1].is_answered]
                 await writer.drain()
         except (asyncio.IncompleteReadError, TimeoutError, ConnectionError):
             pass  # the client has closed the connection, or was silent for too long
--- a/beechslip/dns/lookup.py
+++ b/beechslip/dns/lookup.py
@@ -35,7 +35,7 @@
         query: dns.message.Message,
         question: messages.Question,
         hold_ms: float,
-        reply: SendResponse,
+        send_response: SendResponse,
         on_answered: Callable[[], None],
     ) -> None:
         """Create a lookup. A backend counts as in use for ``hold_ms`` after it is handed out.
@@ -45,19 +45,19 @@
         self._query = query
         self._question = question
         self._hold_ms = hold_ms
-        self._reply = reply
+        self._send_response = send_response
         self._on_answered = on_answered
         self.is_answered = False
 
     async def execute(self, attempt: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
         """Hand out the attempt's backend; see ``AttemptExecutor``."""
         try:
-            answer = messages.backend_response(self._query, self._question, attempt.backend.address)
+            response = messages.backend_response(self._query, self._question, attempt.backend.address)
         except ValueError:
             return AttemptResult("connect_failed")  # a backend without an IPv4 address can't be handed out
         if not may_start():  # also false if the client has left
             return AttemptResult("moot")
-        self._write_response(answer)
+        self._write_response(response)
         return AttemptResult("handed_out", hold_ms=self._hold_ms)
 
     def answer(self, final_response: FinalResponse) -> None:
@@ -81,7 +81,7 @@
             self.is_answered = True
             self._on_answered()
 
-    def _write_response(self, answer: dns.message.Message) -> None:
+    def _write_response(self, response: dns.message.Message) -> None:
         self.is_answered = True
         self._on_answered()
-        self._reply(answer)
+        self._send_response(response)
--- a/beechslip/dns/messages.py
+++ b/beechslip/dns/messages.py
@@ -88,10 +88,10 @@
 
     Names below the zone are ``OBJECT.CLASS`` (A, SRV) and ``_http._tcp.OBJECT.CLASS`` (SRV).
     """
-    asked = query.question[0]
-    if asked.rdclass != dns.rdataclass.IN or not asked.name.is_subdomain(zone):
+    question_rrset = query.question[0]
+    if question_rrset.rdclass != dns.rdataclass.IN or not question_rrset.name.is_subdomain(zone):
         return Question("refused")
-    labels = [label.lower() for label in asked.name.relativize(zone).labels]
+    labels = [label.lower() for label in question_rrset.name.relativize(zone).labels]
     if not labels:
         return Question("apex")
     is_service_name = len(labels) == 4 and tuple(labels[:2]) == SERVICE_LABELS
@@ -108,9 +108,9 @@
     if not (len(labels) == 2 or is_service_name) or not name.isprintable() or not name.isascii():
         return Question("nxdomain")
     types = {dns.rdatatype.SRV} if is_service_name else {dns.rdatatype.SRV, dns.rdatatype.A}
-    if asked.rdtype not in types:
+    if question_rrset.rdtype not in types:
         return Question("nodata")
-    host = dns.name.Name(asked.name.labels[2:]) if is_service_name else asked.name
+    host = dns.name.Name(question_rrset.name.labels[2:]) if is_service_name else question_rrset.name
     return Question("route", rule.name, name, host)
 
 
@@ -125,16 +125,16 @@
 
     If the query uses EDNS, the response carries the extended error (RFC 8914) and its text.
     """
-    answer = dns.message.make_response(query, our_payload=MAX_UDP_MESSAGE_BYTES)
+    response = dns.message.make_response(query, our_payload=MAX_UDP_MESSAGE_BYTES)
     if rcode not in (dns.rcode.REFUSED, dns.rcode.FORMERR, dns.rcode.NOTIMP, dns.rcode.BADVERS):
-        answer.flags |= dns.flags.AA
+        response.flags |= dns.flags.AA
     if query.edns >= 0:
         options: list[dns.edns.Option] = []
         if extended_error is not None:
             options.append(dns.edns.EDEOption(extended_error, text or None))
-        answer.use_edns(0, payload=MAX_UDP_MESSAGE_BYTES, options=options)
-    answer.set_rcode(rcode)
-    return answer
+        response.use_edns(0, payload=MAX_UDP_MESSAGE_BYTES, options=options)
+    response.set_rcode(rcode)
+    return response
 
 
 def failure_response(query: dns.message.Message, text: str) -> dns.message.Message:
@@ -156,23 +156,23 @@
 
 def negative_response(query: dns.message.Message, zone: dns.name.Name, rcode: dns.rcode.Rcode) -> dns.message.Message:
     """Return a response with this code and the zone's SOA (RFC 2308)."""
-    answer = build_response(query, rcode)
-    answer.authority.append(soa_record(zone))
-    return answer
+    response = build_response(query, rcode)
+    response.authority.append(soa_record(zone))
+    return response
 
 
 def apex_response(query: dns.message.Message, zone: dns.name.Name) -> dns.message.Message:
     """Return the response for the zone itself, which has an SOA and a name server."""
-    asked = query.question[0]
+    question_rrset = query.question[0]
     records = {
         dns.rdatatype.SOA: soa_record(zone),
         dns.rdatatype.NS: dns.rrset.from_text(zone, RECORD_TTL_S, "IN", "NS", f"ns.{zone}"),
     }
-    if asked.rdtype not in records:
+    if question_rrset.rdtype not in records:
         return negative_response(query, zone, dns.rcode.NOERROR)
-    answer = build_response(query)
-    answer.answer.append(records[asked.rdtype])
-    return answer
+    response = build_response(query)
+    response.answer.append(records[question_rrset.rdtype])
+    return response
 
 
 def backend_response(query: dns.message.Message, question: Question, address: str) -> dns.message.Message:
@@ -182,17 +182,17 @@
     """
     host, _, port = address.rpartition(":")
     ip = str(ipaddress.IPv4Address(host))
-    asked = query.question[0]
-    answer = build_response(query)
-    own = dns.rrset.from_text(question.host, RECORD_TTL_S, "IN", "A", ip)
-    if asked.rdtype == dns.rdatatype.A:
-        answer.answer.append(own)
+    question_rrset = query.question[0]
+    response = build_response(query)
+    address_record = dns.rrset.from_text(question.host, RECORD_TTL_S, "IN", "A", ip)
+    if question_rrset.rdtype == dns.rdatatype.A:
+        response.answer.append(address_record)
     else:
-        answer.answer.append(
-            dns.rrset.from_text(asked.name, RECORD_TTL_S, "IN", "SRV", f"0 0 {int(port)} {question.host}")
+        response.answer.append(
+            dns.rrset.from_text(question_rrset.name, RECORD_TTL_S, "IN", "SRV", f"0 0 {int(port)} {question.host}")
         )
-        answer.additional.append(own)
-    return answer
+        response.additional.append(address_record)
+    return response
 
 
 def udp_size_limit(query: dns.message.Message) -> int:
@@ -204,19 +204,19 @@
     )
 
 
-def to_wire(answer: dns.message.Message, max_size: int) -> bytes:
+def to_wire(response: dns.message.Message, max_size: int) -> bytes:
     """Return the response's bytes. A response that exceeds ``max_size`` is truncated, with TC set."""
     try:
-        return answer.to_wire(max_size=max_size)
+        return response.to_wire(max_size=max_size)
     except dns.exception.TooBig:
-        return truncate_response(answer).to_wire(max_size=max_size)
+        return truncate_response(response).to_wire(max_size=max_size)
 
 
-def truncate_response(answer: dns.message.Message) -> dns.message.Message:
+def truncate_response(response: dns.message.Message) -> dns.message.Message:
     """Remove the response's records and set TC, so that its client retries over TCP."""
-    answer.answer, answer.authority, answer.additional = [], [], []
-    answer.flags |= dns.flags.TC
-    return answer
+    response.answer, response.authority, response.additional = [], [], []
+    response.flags |= dns.flags.TC
+    return response
 
 
 def fits_backend_response(query: dns.message.Message, question: Question, max_size: int) -> bool:
--- a/beechslip/platform/backends.py
+++ b/beechslip/platform/backends.py
@@ -85,10 +85,10 @@
         connection = await self._connect(backend)
         if isinstance(connection, AttemptResult):
             return connection
-        request = await self._send_request(connection, build_message, may_start)
-        if request is None:
+        sent_request = await self._send_request(connection, build_message, may_start)
+        if sent_request is None:
             return AttemptResult("moot")
-        message, response = request
+        message, response = sent_request
         try:
             received = await response
         except BaseException as error:
--- a/beechslip/platform/changelog.py
+++ b/beechslip/platform/changelog.py
@@ -107,13 +107,13 @@
 
     async def _watch_address(self, session: aiohttp.ClientSession) -> None:
         """Keep one connection to the current address until it fails or the address changes."""
-        watch = asyncio.ensure_future(self._watch_once(session))
-        changed = asyncio.ensure_future(self._address_changed.wait())
+        watch_task = asyncio.ensure_future(self._watch_once(session))
+        address_change_task = asyncio.ensure_future(self._address_changed.wait())
         try:
             # A log that has moved sends nothing more at its old address, but stays open for a while.
-            await asyncio.wait({watch, changed}, return_when=asyncio.FIRST_COMPLETED)
-            if watch.done():
-                watch.result()
+            await asyncio.wait({watch_task, address_change_task}, return_when=asyncio.FIRST_COMPLETED)
+            if watch_task.done():
+                watch_task.result()
         except (aiohttp.ClientError, OSError, TimeoutError, BadEventError) as error:
             log.info("change log connection failed: error=%r", error)
         except Exception:
@@ -121,9 +121,9 @@
             self._counters.add("fault.changelog")
             log.exception("change log connection failed unexpectedly")
         finally:
-            for task in (watch, changed):
+            for task in (watch_task, address_change_task):
                 task.cancel()
-            await asyncio.gather(watch, changed, return_exceptions=True)
+            await asyncio.gather(watch_task, address_change_task, return_exceptions=True)
 
     async def _watch_once(self, session: aiohttp.ClientSession) -> None:
         parser = EventStreamParser()
@@ -175,9 +175,9 @@
 
     def _mark_requested_again(self) -> bool:
         """Mark the events after the last number as requested again. Return True if they already were."""
-        again = self._requested_again_after == self.last_seq + 1
+        was_requested_again = self._requested_again_after == self.last_seq + 1
         self._requested_again_after = self.last_seq + 1
-        return again
+        return was_requested_again
 
     def _post_purges_and_drains(self, seq: int, updates: Sequence[ChangeLogUpdate]) -> None:
         """Post the purges and drains of an event that is requested again.
@@ -189,21 +189,23 @@
                 self._early_purges.add((seq, update))
                 self._post(update)
                 continue
-            ending = tuple(backend for backend in update.backends if backend.state != "ready")
-            if ending:
-                self._early_draining |= {backend.name: seq for backend in ending}
-                self._post(EndpointListUpdate("changes", ending))
+            ending_backends = tuple(backend for backend in update.backends if backend.state != "ready")
+            if ending_backends:
+                self._early_draining |= {backend.name: seq for backend in ending_backends}
+                self._post(EndpointListUpdate("changes", ending_backends))
 
     def apply_event(self, seq: int, updates: Sequence[ChangeLogUpdate]) -> None:
         """Post an event's updates unless they were applied before. The stream may repeat events after a reconnect."""
         if seq <= self.last_seq:
             return
         self.last_seq = seq
-        self._early_draining = {name: number for name, number in self._early_draining.items() if number > seq}
-        posted = {purge for number, purge in self._early_purges if number == seq}
-        self._early_purges = {(number, purge) for number, purge in self._early_purges if number > seq}
+        self._early_draining = {
+            name: event_seq for name, event_seq in self._early_draining.items() if event_seq > seq
+        }
+        posted_purges = {purge for event_seq, purge in self._early_purges if event_seq == seq}
+        self._early_purges = {(event_seq, purge) for event_seq, purge in self._early_purges if event_seq > seq}
         for update in updates:
-            if update in posted:
+            if update in posted_purges:
                 continue
             if isinstance(update, EndpointListUpdate) and self._early_draining:
                 update = EndpointListUpdate(update.kind, tuple(map(self._keep_early_draining, update.backends)))
--- a/beechslip/platform/client_requests.py
+++ b/beechslip/platform/client_requests.py
@@ -15,7 +15,7 @@
 MAX_OBJECT_NAME_LENGTH = 512  # characters
 MAX_GROUP_NUMBER = 255  # largest value of X-Set
 # A request whose transfer takes more than this many times the deadline of its class can't be served.
-MAX_TRANSFER_TIME_PER_DEADLINE = 10.0
+MAX_TRANSFER_TO_DEADLINE_RATIO = 10.0
 
 # Fields that must not be repeated: those that the request needs, and those that determine where it ends.
 UNREPEATABLE_FIELDS = frozenset(
@@ -90,10 +90,9 @@
     if wait_ms > MAX_CLIENT_WAIT_MS:
         raise BadRequestError(400, "Req-Wait-Ms is out of range: it exceeds the longest wait that is allowed")
     size_kb = float(_parse_field(headers, "Req-Kb", _NUMBER, "0"))
-    if rule.deadline and size_kb > settings.flow_kb_s * rule.deadline * MAX_TRANSFER_TIME_PER_DEADLINE > 0:
-        raise BadRequestError(
-            400, "Req-Kb is out of range: its transfer would exceed the deadline"
-        )  # it would distort the decision module's mean sizes
+    if rule.deadline and size_kb > settings.flow_kb_s * rule.deadline * MAX_TRANSFER_TO_DEADLINE_RATIO > 0:
+        # Such a size would distort the decision module's mean sizes.
+        raise BadRequestError(400, "Req-Kb is out of range: its transfer would far exceed the deadline")
     match = _ETAG.match(headers.get("If-None-Match", "").strip())
     group = int(_parse_field(headers, "X-Set", _INTEGER, "0"))
     if group > MAX_GROUP_NUMBER:
--- a/beechslip/platform/front.py
+++ b/beechslip/platform/front.py
@@ -182,12 +182,12 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_ms / 1000.0):
                 while True:
-                    await self._server.wait_while_any(lambda one: one.has_pending_work)
+                    await self._server.wait_while_any(lambda connection: connection.has_pending_work)
                     if self._listener is None:
                         return
                     await self._listener.accept_all()
                     if not self._server.any_connection(
-                        lambda one: one.has_pending_work or one.is_awaiting_first_byte
+                        lambda connection: connection.has_pending_work or connection.is_awaiting_first_byte
                     ):
                         return
                     await asyncio.sleep(LAST_REQUEST_WAIT_S)
@@ -207,7 +207,7 @@
         await self._server.shutdown(CLOSE_TIMEOUT_S)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
-                await self._server.wait_while_any(lambda one: one.has_unsent_bytes)
+                await self._server.wait_while_any(lambda connection: connection.has_unsent_bytes)
 
     async def _handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         connection: Any = request.protocol
@@ -244,8 +244,8 @@
             return self._server.reject_request(error)
         refusing = self._is_draining or self._diverting_for_ms() >= DIVERT_REFUSE_AFTER_MS
         if refusing or connection.has_client_departed or request.transport is None:
-            # The connection ended before the request was handled. Executing the request would be useless, as nobody
-            # awaits the response.
+            # If the connection ended before the request was handled, executing the request would be useless, as
+            # nobody awaits its response.
             return to_http_response(FinalResponse("refused"))
         response_sink = HttpResponseSink(connection)
         self._post(RequestReceived(client_request, self._executor, response_sink))
--- a/beechslip/platform/server.py
+++ b/beechslip/platform/server.py
@@ -120,8 +120,15 @@
         self._open_connections[connection] = None
         if len(self._open_connections) <= self._max_connections:
             return
-        evictable = [one for one in self._open_connections if not one.has_pending_request]
-        idle = next((one for one in evictable if not one.has_partial_request and not one.has_unsent_bytes), None)
+        evictable = [candidate for candidate in self._open_connections if not candidate.has_pending_request]
+        idle = next(
+            (
+                candidate
+                for candidate in evictable
+                if not candidate.has_partial_request and not candidate.has_unsent_bytes
+            ),
+            None,
+        )
         self._close_connection(idle or next(iter(evictable), connection), "closed.room")
 
     def connection_state_changed(self, connection: ClientConnection) -> None:
--- a/tests/test_changelog.py
+++ b/tests/test_changelog.py
@@ -103,17 +103,19 @@
 @pytest.mark.parametrize(
     ("streams", "expected", "requested_after"),
     [
+        # The stream breaks off partway through an event.
         (
             [purge_event(4) + purge_event(5)[:30], purge_event(5)],
             "45",
             ["3", "4"],
-        ),  # the stream breaks off partway through an event
+        ),
         ([purge_event(4) * 2 + purge_event(5), b""], "45", ["3", "5"]),  # the stream sends events twice
+        # A gap: events are requested again, and the updates after it are binding at once.
         (
             [purge_event(5), purge_event(4) + purge_event(5)],
             "54",
             ["3", "3"],
-        ),  # a gap: events are requested again, and the updates after it are binding at once
+        ),
         ([purge_event(5), purge_event(5) + purge_event(6)], "56", ["3", "3"]),  # a gap that remains is accepted
         ([b"id: 4\ndata: {\n\n" + purge_event(5)] * 2, "5", ["3", "3"]),  # unreadable twice: the event is skipped
     ],
@@ -136,23 +138,27 @@
 @pytest.mark.parametrize(
     ("streams", "expected"),
     [
+        # Shortened once: never applied.
         (
             [complete_list_event(4, "a"), complete_list_event(4, *"abcd") + purge_event(5)],
             ["abcd", "5"],
-        ),  # shortened once: never applied
+        ),
+        # Repeated: accepted.
         (
             [complete_list_event(4, "a"), complete_list_event(4, "a") + purge_event(5)],
             ["a", "5"],
-        ),  # repeated: accepted
+        ),
+        # Can't be requested again: applied before the drain grace is over.
         (
             [complete_list_event(4, "a"), b""],
             ["a"],
-        ),  # can't be requested again: applied before the drain grace is over
+        ),
         ([complete_list_event(4, *"abd"), b""], ["abd"]),  # most backends are still listed
+        # The stream sends the list twice.
         (
             [complete_list_event(4, *"abcd") * 2 + purge_event(5), b""],
             ["abcd", "5"],
-        ),  # the stream sends the list twice
+        ),
     ],
 )
 async def test_reader_requests_complete_list_again_that_omits_most_backends(
@@ -260,9 +266,8 @@
     async with running_reader(ScriptedChangeLog("log", list_event(4, False, c="leaving"), b"")) as (reader, posted):
 
         def move_log_then_feed(stream: StreamReader, data: bytes, *more: Any) -> Any:
-            reader.set_address(
-                Address("127.0.0.1", 9)
-            )  # in the step in which the event is read; nothing listens there
+            # The log moves in the step in which the event is read. Nothing listens at the new address.
+            reader.set_address(Address("127.0.0.1", 9))
             return original_feed_data(stream, data, *more)
 
         monkeypatch.setattr(StreamReader, "feed_data", move_log_then_feed)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -107,9 +107,8 @@
         assert [(await read_message(raw_client.reader))[2] for _ in range(3)] == [b"wave0", b"wave1", b"wave2"]
         (connection,) = connections(stand)
         await until(lambda: not connection.has_pending_request)
-        assert (
-            not connection.has_partial_request and not connection.has_more_input
-        )  # nothing delays closing the connection
+        # Nothing delays closing the connection.
+        assert not connection.has_partial_request and not connection.has_more_input
 
 
 @run
