--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -27,7 +27,7 @@
 _request_numbers = itertools.count(1 << 62)
 
 
-async def call_status(port: int, path: str, method: str) -> int:
+async def fetch_status(port: int, path: str, method: str) -> int:
     return (await fetch(port, path, method))[0]
 
 
@@ -85,9 +85,9 @@
         )
         await until(lambda: proxy.log.resumed_from)
         silent_connections = [await asyncio.open_connection("127.0.0.1", ops_port) for _ in range(40)]
-        assert await call_status(ops_port, *READY) == 503  # no backends are known yet
+        assert await fetch_status(ops_port, *READY) == 503  # no backends are known yet
         proxy.log.publish(1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in proxy.backends]})
-        while await call_status(ops_port, *READY) != 200:
+        while await fetch_status(ops_port, *READY) != 200:
             await asyncio.sleep(0.01)
         assert (await fetch(proxy.port, "/health"))[0] == 200
         query = dns.message.make_query("7f3a.waveform.z.", "SRV")
@@ -96,14 +96,14 @@
             return (await dns.asyncquery.udp(query, "127.0.0.1", port=dns_port, timeout=10)).rcode()
 
         assert await lookup_rcode() == dns.rcode.NOERROR
-        assert [await call_status(ops_port, *operator_call) for operator_call in (DRAIN, READY)] == [200, 503]
+        assert [await fetch_status(ops_port, *operator_call) for operator_call in (DRAIN, READY)] == [200, 503]
         assert (await fetch(proxy.port, "/health"))[0] == 503
         assert await lookup_rcode() == dns.rcode.SERVFAIL  # a drained proxy hands out no box either
-        assert [await call_status(ops_port, *operator_call) for operator_call in (ACTIVATE, READY)] == [200, 200]
+        assert [await fetch_status(ops_port, *operator_call) for operator_call in (ACTIVATE, READY)] == [200, 200]
         assert (await fetch(proxy.port, "/health"))[0] == 200 and await lookup_rcode() == dns.rcode.NOERROR
         assert [
-            await call_status(ops_port, "/v1/readyz", "POST"),
-            await call_status(ops_port, "/v1/none", "GET"),
+            await fetch_status(ops_port, "/v1/readyz", "POST"),
+            await fetch_status(ops_port, "/v1/none", "GET"),
         ] == [405, 404]
         for _, writer in silent_connections:
             writer.close()
@@ -134,7 +134,7 @@
                 )
                 while True:
                     try:
-                        if await call_status(ops_port, *READY) == 200:
+                        if await fetch_status(ops_port, *READY) == 200:
                             return process, ops_port
                     except (OSError, asyncio.IncompleteReadError):
                         assert process.returncode is None
