--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -18,7 +18,7 @@
 from beechslip.fleet.messages import Message
 from lab.stand import HANG, OK, Stand, StandBackend, run, until
 from tests.test_budgets import FakeLeaseView
-from tests.test_dns import ZONE, DnsStand, box, own
+from tests.test_dns import ZONE, DnsStand, box, objects_homed_in
 from tests.test_rules import Plan as AlwaysPlan
 
 
@@ -108,7 +108,7 @@
 async def test_connections_to_a_backend_are_bounded_and_released() -> None:
     async with Stand(*backends(HANG)) as stand:
         part = attach_budgets(stand, cache_links=2.0)
-        part.limit_connections = stand.client.bound(part)
+        part.limit_connections = stand.client.limit_connections(part)
         request_tasks = [stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(10)]
         await until(
             lambda: (
@@ -127,7 +127,7 @@
 async def test_idle_connections_are_closed_when_their_quota_shrinks() -> None:
     async with Stand(*backends(OK)) as stand:
         part = attach_budgets(stand, cache_links=4.0)
-        part.limit_connections = stand.client.bound(part)
+        part.limit_connections = stand.client.limit_connections(part)
         await asyncio.gather(*(stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(8)))
         before = {backend.name: backend.connections for backend in stand.backends[:2]}
         assert max(before.values()) >= 2
@@ -169,7 +169,7 @@
         # 0.3 transfers x 3 s x half of 2.5 x 0.18 warm allow two request_tasks of 100 ms within 3 s.
         stand.engine.step(EndpointListUpdate("changes", (box(0, started_ms=stand.clock.now_ms()),)))
         attach_budgets(stand, cache_bears=0.3)
-        names = own(0)[:4]
+        names = objects_homed_in(0)[:4]
         answers = [await stand.ask(f"{name}.waveform.{ZONE}", "A") for name in names]
         assert [bool(a.answer) for a in answers] == [True, True, False, False]
         stand.clock.advance(3_100)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -45,7 +45,7 @@
     run,
     until,
 )
-from tests.connection_helpers import Gated, client, command, request_ids
+from tests.connection_helpers import GatedBackend, client, get_request_bytes, request_ids
 from tests.test_program import ROOT, program
 
 # Discovery ------------------------------------------------------------------------------------------
@@ -102,15 +102,15 @@
     drained, drain = asyncio.Event(), HttpFront.drain
     monkeypatch.setattr(HttpFront, "drain", lambda front: (drain(front), drained.set()))
     async with program(tmp_path) as one:
-        one.backends[:2] = [backend := Gated("s")]
+        one.backends[:2] = [backend := GatedBackend("s")]
         async with listening(backend):
             env = {"EDGE_CONFIG": str(one.write_config())}
             this = Proxy(read_config(env))
             task = asyncio.create_task(this.run())
             await one.ready()
             async with client(one.port) as busy, client(one.port) as slow, client(one.port) as silent:
-                busy.send(command() + command())
-                half = command()
+                busy.send(get_request_bytes() + get_request_bytes())
+                half = get_request_bytes()
                 slow.send(half[:40])
                 await until(lambda: backend.seen)
                 if reloading:
@@ -120,10 +120,10 @@
                 this.stopping.set()
                 await drained.wait()
                 backend.gate.set()
-                assert [await busy.status(), await busy.status()] == [200, 503]
+                assert [await busy.read_status(), await busy.read_status()] == [200, 503]
                 slow.send(half[40:])
-                assert await slow.status() == 503
-                assert await silent.ended()
+                assert await slow.read_status() == 503
+                assert await silent.is_closed_by_server()
                 await task
 
 
