--- a/beechslip/routing/__init__.py
+++ b/beechslip/routing/__init__.py
@@ -1,6 +1,6 @@
-"""beechslip.routing: a router's decisions before tiers of caches with one origin behind them.
+"""Routing decisions for a proxy in front of tiers of caches with one origin behind them.
 
-The root exports what users of the library need: ``Router`` and the types it takes and returns.
+The package exports ``Router`` and the types that it takes and returns.
 """
 
 from beechslip.routing.interface import (
--- a/beechslip/routing/adapter.py
+++ b/beechslip/routing/adapter.py
@@ -1,7 +1,7 @@
-"""The simulator's program: many isolated routers behind the wire of ``beechslip.routing.wire``.
+"""The simulator's program: isolated routers behind the wire format of ``beechslip.routing.wire``.
 
-Nothing is decided here. Unknown settings and unknown members are skipped; what is malformed ends the
-process with a plain message on standard error and a non-zero exit.
+This module makes no routing decisions. It skips unknown settings and members. Malformed input ends the
+process with a message on standard error and a non-zero exit status.
 """
 
 from __future__ import annotations
@@ -14,39 +14,39 @@
 from beechslip.routing import interface as i
 from beechslip.routing.router import Router
 from beechslip.routing.wire.actions import write_action
-from beechslip.routing.wire.events import READERS, read_entries, read_list_kind
-from beechslip.routing.wire.fields import Message, WireError, required
+from beechslip.routing.wire.events import EVENT_READERS, read_entries, read_list_kind
+from beechslip.routing.wire.fields import Message, WireError, required_member
 from beechslip.routing.wire.settings import read_settings
 
 BATCH_END = '{"event_type":"END"}\n'
-INSTANCE_EVENTS = READERS.keys() | {"LAUNCH", "POWER_OFF", "PEERS_KNOWN"}
+INSTANCE_EVENTS = EVENT_READERS.keys() | {"LAUNCH", "POWER_OFF", "PEERS_KNOWN"}
 
 
-class Adapter:
-    """Hosts the instances of one process; they share nothing but the numbered lists of the wire."""
+class SimulatorAdapter:
+    """Hosts the router instances of one process, which share only the numbered endpoint lists."""
 
     def __init__(self) -> None:
-        """Start with no instance and no list, at time 0."""
+        """Start at time 0 with no instances and no lists."""
         self.routers: dict[int, Router] = {}
         self.lists: dict[int, tuple[i.Endpoint, ...]] = {}
         self.now = 0.0  # s
 
-    def take(self, message: Message) -> list[Message]:
-        """Handle one message; returns the wire's actions in order.
+    def handle_message(self, message: Message) -> list[Message]:
+        """Handle one message and return the resulting wire messages in order.
 
         Raises:
-            WireError: the message is malformed, or names an unknown instance or list.
+            WireError: the message is malformed, or it names an unknown instance or list.
         """
-        event_type = required(message, "event_type", str)
+        event_type = required_member(message, "event_type", str)
         if event_type == "SYNC":
-            self.now = float(required(message, "ts", (int, float)))
+            self.now = float(required_member(message, "ts", (int, float)))
             return []
         if event_type == "LIST":
-            self.lists[required(message, "bank", int)] = read_entries(message)
+            self.lists[required_member(message, "bank", int)] = read_entries(message)
             return []
         if event_type not in INSTANCE_EVENTS:
-            raise WireError(f"unknown event {event_type!r:.60}")
-        proxy = required(message, "proxy", int)
+            raise WireError(f"unknown event_type {event_type!r:.60}")
+        proxy = required_member(message, "proxy", int)
         if event_type == "POWER_OFF":
             self.routers.pop(proxy, None)
             return []
@@ -55,8 +55,8 @@
         return self._handle(proxy, event_type, message)
 
     def _launch(self, proxy: int, message: Message) -> list[Message]:
-        seed = required(message, "seed", int)
-        settings = read_settings(required(message, "config", dict))
+        seed = required_member(message, "seed", int)
+        settings = read_settings(required_member(message, "config", dict))
         try:
             router = Router(settings, seed)
             self.routers[proxy] = router
@@ -68,11 +68,11 @@
     def _handle(self, proxy: int, event_type: str, message: Message) -> list[Message]:
         router = self.routers.get(proxy)
         if router is None:
-            raise WireError(f"{event_type}: no instance has the number {proxy}")
+            raise WireError(f"{event_type}: unknown instance number {proxy}")
         if event_type == "PEERS_KNOWN":
             event: i.Event = self._read_endpoint_list(message)
         else:
-            event = READERS[event_type](message)
+            event = EVENT_READERS[event_type](message)
         try:
             actions = router.handle(self.now, event)
         except Exception as error:  # a bug in the decisions is reported on the wire with its text
@@ -83,19 +83,19 @@
         kind = read_list_kind(message)
         if kind == "refused":
             return i.EndpointList(kind)
-        bank = required(message, "bank", int)
+        bank = required_member(message, "bank", int)
         if bank not in self.lists:
-            raise WireError(f"PEERS_KNOWN: no list has the number {bank}")
+            raise WireError(f"PEERS_KNOWN: unknown list number {bank}")
         return i.EndpointList(kind, self.lists[bank])
 
 
 def run(source: TextIO, sink: TextIO) -> None:
-    """Answer each batch of lines from ``source``, until the input ends.
+    """Answer each batch of lines from ``source`` on ``sink`` until the input ends.
 
     Raises:
-        WireError: a line is no message of the wire; the text tells its number.
+        WireError: a line is not a valid message; the text names the line number.
     """
-    adapter = Adapter()
+    simulator = SimulatorAdapter()
     reply: list[str] = []
     for number, line in enumerate(source, 1):
         if not line.strip():
@@ -103,7 +103,7 @@
         message = _parse(number, line)
         if message.get("event_type") != "YOUR_TURN":
             try:
-                actions = adapter.take(message)
+                actions = simulator.handle_message(message)
             except WireError as error:
                 raise WireError(f"line {number}: {error}") from None
             reply += [json.dumps(action, separators=(",", ":")) for action in actions]
@@ -115,14 +115,17 @@
 
 
 def main() -> int:
-    """Entry point: 0 when the input ends, 1 after malformed input."""
+    """Run on standard input and output; return 0 at the end of the input, 1 after malformed input.
+
+    It also returns 1 if standard output is closed.
+    """
     try:
         run(sys.stdin, sys.stdout)
     except (WireError, UnicodeDecodeError) as error:
         print(f"beechslip.routing: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
-        os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())  # nobody reads any more
+        os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())  # the reader has closed the pipe
         return 1
     return 0
 
@@ -133,12 +136,12 @@
     except (ValueError, RecursionError) as error:
         raise WireError(f"line {number} is not JSON: {error}") from None
     if not isinstance(message, dict):
-        raise WireError(f"line {number} is not an object")
+        raise WireError(f"line {number} is not an object: expected a JSON object")
     return message
 
 
 def _reject_constant(name: str) -> NoReturn:
-    raise ValueError(f"{name} is no JSON number")
+    raise ValueError(f"{name} is not a JSON number")
 
 
 def _fatal(proxy: int, error: Exception) -> Message:
--- a/beechslip/routing/admission.py
+++ b/beechslip/routing/admission.py
@@ -1,119 +1,144 @@
-"""Admission: as the caches fill, what earns least for its sending time is rejected first."""
+"""Admission control: as caches become busy, requests with the least weight per transfer second are rejected.
+
+The density of a request is its priority weight divided by its transfer time.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 
 from beechslip.routing.concurrency import ConcurrencyLimits
-from beechslip.routing.context import CLOCK_GRAIN_S, Context
-from beechslip.routing.size_fairness import GuaranteedShares, SizeBands
-from beechslip.routing.slow_start import SlowStart
+from beechslip.routing.context import CLOCK_GRAIN_S, RoutingContext
+from beechslip.routing.size_fairness import GuaranteedShares, SizeBandClassifier
+from beechslip.routing.slow_start import SlowStartPolicy
 from beechslip.routing.state import Backend, OpenRequest
 
-SHED_FROM = 0.5  # fullness at which the requests of the least density are rejected first
-SHED_ALL = 1.25  # fullness at which all are
-OVERLOADED_FROM = 1.5  # transfers for each that a link carries at full pace, from which others are quicker
-BUSY_LINK = 0.9  # fraction of a link in use, above which it counts as full
-TEACHING_LINK = 0.4  # fraction of a link in use that teaches what it carries
-CAPACITY_STEP = 0.05  # weight of one more report
-PACED_FROM_S = 0.1  # transfer time of a hit that tells its cache's pace
-PACE_STEP = 0.3  # weight of one more hit
-BUSY_PACE = 2.0  # times the transfer time that hits take on a link that is shared by too many
-FULL_PACE = 3.0  # times at which its cache is full
-REPORT_LIFETIME_S = 1.0  # s for which a load report counts
-RECENT_REQUESTS = 100  # requests whose density is remembered, for ranking the next
-
-
-class Admission:
-    """Owner of the recent densities: priority weight for each second of sending."""
-
-    def __init__(self, context: Context, limits: ConcurrencyLimits, slow_start: SlowStart) -> None:
-        """Start with no recent request."""
+SHEDDING_STARTS_AT = 0.5  # utilization above which the requests of the lowest density are rejected
+SHEDDING_COMPLETE_AT = 1.25  # utilization at which all requests are rejected
+# Transfers in progress, as a multiple of those that the link carries at full speed. Above this ratio another
+# cache is faster.
+OVERLOADED_LINK_RATIO = 1.5
+BUSY_LINK_FRACTION = 0.9  # fraction of a link in use above which the link counts as full
+MIN_LEARNING_LINK_FRACTION = 0.4  # fraction of a link in use above which its capacity can be estimated
+CAPACITY_UPDATE_WEIGHT = 0.05  # weight of a new load report in the estimated link capacity
+MIN_TIMED_HIT_S = 0.1  # s, the shortest transfer time of a hit whose duration is used as a load report
+HIT_TIME_UPDATE_WEIGHT = 0.3  # weight of a new hit in a cache's hit time ratio
+BUSY_HIT_TIME_RATIO = 2.0  # hit time over transfer time above which too many transfers share the link
+FULL_HIT_TIME_RATIO = 3.0  # hit time over transfer time at which the cache counts as full
+REPORT_LIFETIME_S = 1.0  # s for which a load report is used
+RECENT_REQUEST_COUNT = 100  # recent requests against whose densities a new request is ranked
+
+
+class AdmissionControl:
+    """Decides which requests are admitted and which of them may be filled; owns the recent densities."""
+
+    def __init__(
+        self, context: RoutingContext, limits: ConcurrencyLimits, slow_start: SlowStartPolicy
+    ) -> None:
+        """Create the admission control with no recent requests."""
         self._context = context
         self._limits = limits
         self._slow_start = slow_start
-        self._densities: deque[float] = deque(maxlen=RECENT_REQUESTS)
-        self._bands = SizeBands()
-        self._admitted_shares = GuaranteedShares()
+        self._recent_densities: deque[float] = deque(maxlen=RECENT_REQUEST_COUNT)
+        self._band_classifier = SizeBandClassifier()
+        self._admission_shares = GuaranteedShares()
         self._fill_shares = GuaranteedShares()
 
     def record_arrival(self, request: OpenRequest) -> None:
-        """Count a request among the recent ones."""
-        self._bands.classify(request)
-        self._densities.append(self._density(request))
+        """Add a new request to the recent ones and set its size band."""
+        self._band_classifier.classify(request)
+        self._recent_densities.append(self._density(request))
 
     def may_fill(self, request: OpenRequest, source: Backend | None) -> bool:
-        """While fills come late, requests of low density only look: a copy that is there costs no link.
+        """Return whether a miss of this request may be filled from ``source``.
 
-        Covers full links, a slow origin, mass purges. Harm: a look at a missing copy is rejected at once.
+        While fills are late, requests of low density get cached-only attempts: to serve a copy that the cache
+        holds takes no capacity of the links between the tiers. This applies to full links, a slow origin and
+        mass purges. The cost is that a cached-only attempt for a missing copy is rejected at once.
         """
         fraction = self._limits.fill_throttle(source).fraction
-        by_density = fraction >= 1.0 or request.rule.write or self._rank(request) > 1.0 - fraction
-        if request.fill_accepted is None:
-            request.fill_accepted = self._fill_shares.decide(request, by_density)
-        return by_density or request.fill_accepted
+        by_density = fraction >= 1.0 or request.rule.write or self._density_rank(request) > 1.0 - fraction
+        if request.is_fill_accepted is None:
+            request.is_fill_accepted = self._fill_shares.decide(request, by_density)
+        return by_density or request.is_fill_accepted
 
     def admits(self, request: OpenRequest, usable: list[Backend]) -> bool:
-        """Whether the request ranks high enough for the fullness of the backends that it could use.
+        """Return whether the request's density is high enough for the utilization of its usable backends.
 
-        Sizes vary so widely that the few largest requests hold most of the bytes: rejecting them early
-        keeps the many in time. Harm: some that would just have fitted are rejected.
+        Sizes vary so widely that a few large requests hold most of the bytes. Rejecting them early keeps the
+        many others on time. The cost is that some requests are rejected that would just have fitted.
+        """
+        utilization = self.utilization(usable)
+        threshold = (utilization - SHEDDING_STARTS_AT) / (SHEDDING_COMPLETE_AT - SHEDDING_STARTS_AT)
+        by_density = threshold <= 0.0 or self._density_rank(request) > threshold
+        if request.is_admitted is None:
+            request.is_admitted = self._admission_shares.decide(request, by_density)
+        return by_density or request.is_admitted
+
+    def utilization(self, backends: list[Backend]) -> float:
+        """Return the utilization of ``backends`` as a fraction, where 1.0 means full.
+
+        It is the larger of two values: this proxy's attempts in flight over the concurrency limits, and the
+        recently reported load over what the links carry.
         """
-        fullness = self.fullness(usable)
-        threshold = (fullness - SHED_FROM) / (SHED_ALL - SHED_FROM)
-        by_density = threshold <= 0.0 or self._rank(request) > threshold
-        if request.admitted is None:
-            request.admitted = self._admitted_shares.decide(request, by_density)
-        return by_density or request.admitted
-
-    def fullness(self, backends: list[Backend]) -> float:
-        """By our own attempts over the learned limits, or by all that is reported over the links."""
-        oldest = self._context.now - REPORT_LIFETIME_S
-        reported = sum(b.reported_load for b in backends if b.reported_at > oldest) / len(backends)
+        oldest_report_at = self._context.now - REPORT_LIFETIME_S
+        reported = sum(b.reported_load for b in backends if b.reported_at > oldest_report_at) / len(backends)
         own = sum(b.in_flight for b in backends) / sum(b.concurrency_limit for b in backends)
-        return max(reported / OVERLOADED_FROM, own)
+        return max(reported / OVERLOADED_LINK_RATIO, own)
 
     def record_load_report(self, cache: Backend, busy: float, in_progress: float) -> None:
-        """Take a load report: the requests it holds over what its link carries, as stated or as seen.
+        """Record a load report: the cache's requests in progress over the stated or learned link capacity.
 
         Args:
-            cache: whose report it is.
-            busy: fraction of its link in use.
-            in_progress: requests in progress there.
+            cache: the cache that sent the report.
+            busy: the fraction of its link in use.
+            in_progress: the number of requests in progress at the cache.
 
-        Guards against a jam at one cache beside idle ones. Harm: what only waits for fills is counted to what
-        its link carries, so that a link that is full looks somewhat wider than it is.
+        This guards against congestion at one cache while others are idle. The cost is that requests which
+        only wait for fills are counted when the link capacity is learned, so a full link appears somewhat
+        wider than it is.
         """
-        if TEACHING_LINK < busy <= BUSY_LINK and self._slow_start.warmth(cache) >= 1.0:
-            step = CAPACITY_STEP if cache.link_capacity else 1.0
+        if (
+            MIN_LEARNING_LINK_FRACTION < busy <= BUSY_LINK_FRACTION
+            and self._slow_start.warm_fraction(cache) >= 1.0
+        ):
+            step = CAPACITY_UPDATE_WEIGHT if cache.link_capacity else 1.0
             cache.link_capacity += (in_progress / busy - cache.link_capacity) * step
         capacity = self._link_capacity(cache)
         if capacity > 0:
             cache.reported_at = self._context.now
-            cache.reported_load = (busy > BUSY_LINK) * in_progress / capacity
+            cache.reported_load = (busy > BUSY_LINK_FRACTION) * in_progress / capacity
 
-    def record_pace(self, cache: Backend, request: OpenRequest, elapsed: float) -> None:
-        """Where no load report tells what a link carries, take the pace of a hit for one.
+    def record_hit_time(self, cache: Backend, request: OpenRequest, elapsed: float) -> None:
+        """Use the duration of a hit as a load report where the link capacity is unknown.
 
-        Small hits are on time at a pace at which the largest never end. Harm: where all hits are small, a jam
-        goes unseen.
+        Small hits are on time at a transfer rate at which the largest never end. The cost is that congestion
+        goes unnoticed where all hits are small.
         """
-        too_small = not request.event.size_kb or request.transfer_time < PACED_FROM_S
+        too_small = not request.event.size_kb or request.transfer_time < MIN_TIMED_HIT_S
         if too_small or self._link_capacity(cache) > 0:
             return
-        cache.pace += (elapsed / request.transfer_time - cache.pace) * PACE_STEP
+        cache.hit_time_ratio += (
+            elapsed / request.transfer_time - cache.hit_time_ratio
+        ) * HIT_TIME_UPDATE_WEIGHT
         cache.reported_at = self._context.now
-        cache.reported_load = (cache.pace > BUSY_PACE) * cache.pace / FULL_PACE * OVERLOADED_FROM
+        cache.reported_load = (
+            (cache.hit_time_ratio > BUSY_HIT_TIME_RATIO)
+            * cache.hit_time_ratio
+            / FULL_HIT_TIME_RATIO
+            * OVERLOADED_LINK_RATIO
+        )
 
     def _link_capacity(self, cache: Backend) -> float:
-        """Transfers at full pace that a cache's link carries, as stated or as learned; 0: unknown."""
+        """Return how many transfers at full speed a cache's link carries, stated or learned; 0 if unknown."""
         weight = cache.entry.weight
         return weight if self._context.weights_are_capacities and weight > 0 else cache.link_capacity
 
     def _density(self, request: OpenRequest) -> float:
+        """Return the priority weight per second of transfer time."""
         return (request.rule.priority_weight or 1.0) / max(request.transfer_time, CLOCK_GRAIN_S)
 
-    def _rank(self, request: OpenRequest) -> float:
-        """Fraction of recent requests that earn no more for their sending time than this one."""
+    def _density_rank(self, request: OpenRequest) -> float:
+        """Return the fraction of recent requests whose density is no higher than this request's."""
         own = self._density(request)
-        return sum(1 for other in self._densities if other <= own) / len(self._densities)
+        return sum(1 for other in self._recent_densities if other <= own) / len(self._recent_densities)
--- a/beechslip/routing/cancellation.py
+++ b/beechslip/routing/cancellation.py
@@ -1,47 +1,50 @@
-"""Cancellation: attempts that are left because a better place is known."""
+"""Cancellation of attempts for which a better route is known."""
 
 from __future__ import annotations
 
 from beechslip.routing import interface as i
-from beechslip.routing.context import Context
+from beechslip.routing.context import RoutingContext
 from beechslip.routing.requests import RequestTable
 from beechslip.routing.retries import RetryPolicy
-from beechslip.routing.selection import Selector
+from beechslip.routing.selection import RouteSelector
 from beechslip.routing.state import AttemptInFlight, Backend, OpenRequest
 
 
-class Cancellation:
-    """Cancels attempts; the outcome of the cancel makes the next attempt. It holds no state of its own."""
+class AttemptCancellation:
+    """Cancels attempts; the next attempt follows when the cancelled one ends. It has no state of its own."""
 
     def __init__(
-        self, context: Context, requests: RequestTable, selector: Selector, retries: RetryPolicy
+        self, context: RoutingContext, requests: RequestTable, selector: RouteSelector, retries: RetryPolicy
     ) -> None:
-        """Cancellation of the attempts in ``requests``."""
+        """Create the cancellation of attempts in ``requests``."""
         self._context = context
         self._requests = requests
         self._selector = selector
         self._retries = retries
 
     def cancel(self, request: OpenRequest, attempt: AttemptInFlight) -> None:
-        """Stop waiting, if that is permitted, does no harm, and another attempt would go elsewhere."""
-        if attempt.cancelling or request.rule.effect != "safe":
+        """Cancel an attempt if that is permitted and safe, and the next one would take another route.
+
+        After an answer that is presumed lost, the next attempt may also take the same route.
+        """
+        if attempt.is_cancelling or request.rule.effect != "safe":
             return
         if not self._context.settings.can_cancel or not self._retries.may_attempt(request):
             return
-        ejected = [b for b in (attempt.cache, attempt.source) if b is not None and b.ejected]
-        request.avoided += ejected[:1]
+        ejected = [b for b in (attempt.cache, attempt.source) if b is not None and b.is_ejected]
+        request.avoided_backends += ejected[:1]
         same_route = (
             self._selector.choose_cache(request) is attempt.cache
             and self._selector.choose_source(request) is attempt.source
         )
-        if same_route and not request.resend_lost_answer:
-            return  # there is no better place for it
-        attempt.cancelling = True
+        if same_route and not request.is_answer_lost:
+            return  # there is no better route
+        attempt.is_cancelling = True
         self._context.actions.append(i.Cancel(request.request_id, attempt.number))
 
     def cancel_at(self, cache: Backend) -> None:
-        """Cancel what waits at a cache, except for answers that have started."""
+        """Cancel the attempts in flight at a cache, except those whose answer has started."""
         for key, attempt in list(self._requests.in_flight.items()):
             request = self._requests.open.get(key.request_id)
-            if request is not None and attempt.cache is cache and not attempt.streaming:
+            if request is not None and attempt.cache is cache and not attempt.is_streaming:
                 self.cancel(request, attempt)
--- a/beechslip/routing/concurrency.py
+++ b/beechslip/routing/concurrency.py
@@ -1,47 +1,56 @@
-"""Concurrency limits: how many attempts each backend carries in time, and how much the fills' way does."""
+"""Concurrency limits: how many attempts each backend serves on time, and how many requests may be filled."""
 
 from __future__ import annotations
 
 from beechslip.routing import interface as i
-from beechslip.routing.context import Context
+from beechslip.routing.context import RoutingContext
 from beechslip.routing.endpoints import EndpointTable
-from beechslip.routing.estimates import Estimates
+from beechslip.routing.estimates import DurationEstimates
 from beechslip.routing.state import AttemptInFlight, Backend, OpenRequest
 from beechslip.routing.tallies import FillThrottle
 
-FILL_FAULTS = frozenset({"source_lost", "source_lacks", "source_refused", "no_place", "origin_failed"})
-MIN_LIMIT = 2.0  # attempts in flight that a cache is always trusted with, or it could never show recovery
-LIMIT_GROWTH = 2.0  # attempts won for each full limit of timely answers
-LIMIT_CUT = 0.8  # factor when answers come too late
-ORIGIN_CUT = 0.5  # factor when the origin's own fills do
-TOLERATED_LATE_CACHE = 0.1  # fraction of late answers that cuts a cache's limit
-TOLERATED_LATE_FILLS = 1.0 / 3.0  # fraction of late fills that cuts what may fill
-TOLERATED_LATE_BLIND = 0.2  # without notes: what slow fills alone explain, as most answers are hits
-MAX_FILLS_PER_LINK = 4.0  # fills on a zone's link over those it carries at full pace: each at a quarter of it
+FILL_FAULT_NOTES = frozenset({"source_lost", "source_lacks", "source_refused", "no_place", "origin_failed"})
+MIN_CONCURRENCY_LIMIT = 2.0  # attempts in flight; fewer could not show that a backend has recovered
+LIMIT_GROWTH = 2.0  # increase of a limit after as many timely answers as it permits attempts
+LIMIT_CUT_FACTOR = 0.8  # factor applied when too many answers are late
+ORIGIN_FILL_CUT_FACTOR = 0.5  # the same for fills that come directly from the origin
+TOLERATED_LATE_ANSWERS = 0.1  # fraction of late answers above which a cache's limit is cut
+TOLERATED_LATE_FILLS = 1.0 / 3.0  # fraction of late fills above which fewer requests may be filled
+# The same where notes do not tell hits from fills. Most answers are then hits, so slow fills alone can
+# explain this fraction of late answers.
+TOLERATED_LATE_FILLS_WITHOUT_NOTES = 0.2
+# Fills in progress on a zone's link, as a multiple of those that it carries at full speed. At this ratio each
+# fill gets a quarter of full speed.
+MAX_FILLS_PER_LINK = 4.0
 
 
 class ConcurrencyLimits:
-    """Owner of the fill throttles; sets the backends' ``concurrency_limit``."""
+    """Owns the fill throttles and sets the ``concurrency_limit`` of each backend."""
 
-    def __init__(self, context: Context, endpoints: EndpointTable, estimates: Estimates) -> None:
-        """Start with no limit learned."""
+    def __init__(
+        self, context: RoutingContext, endpoints: EndpointTable, estimates: DurationEstimates
+    ) -> None:
+        """Start without limits on attempts or fills."""
         self._context = context
         self._endpoints = endpoints
         self._estimates = estimates
-        # From parents, which hold half of what they are asked for, and straight from the origin.
-        self.parent_fills = FillThrottle(LIMIT_CUT)
-        self.origin_fills = FillThrottle(ORIGIN_CUT)
+        # Fills from parents, which have half of the requested objects cached, and directly from the origin.
+        self.parent_fills = FillThrottle(LIMIT_CUT_FACTOR)
+        self.origin_fills = FillThrottle(ORIGIN_FILL_CUT_FACTOR)
 
     def fill_throttle(self, source: Backend | None) -> FillThrottle:
-        """The throttle of fills from this source."""
+        """Return the throttle that applies to fills from ``source``."""
         return self.origin_fills if source is self._endpoints.origin else self.parent_fills
 
-    def learn(self, attempt: AttemptInFlight, request: OpenRequest | None, outcome: i.Outcome) -> None:
-        """Learn from an outcome how much is carried in time: by the fills of the zone, and by the cache.
+    def record_outcome(
+        self, attempt: AttemptInFlight, request: OpenRequest | None, outcome: i.Outcome
+    ) -> None:
+        """Adjust the fill throttles and the concurrency limits to an attempt's outcome.
 
-        Where notes tell hits, only they speak of the cache, and all else of fills; without, few late answers
-        are laid to fills, many to the cache. Harm: a slow source without notes can shrink limits for hits,
-        and with notes a cache whose answers all come too late is known by its hits and reports alone.
+        Where notes tell hits from fills, hits count for the cache's limit and all other answers for the fill
+        throttle. Without notes an answer counts for both, each with its own tolerated fraction of late
+        answers. The cost is that without notes a slow source can reduce the limit for hits, and that with
+        notes a cache whose answers are all late is recognized only by its hits and its load reports.
         """
         cache = attempt.cache
         is_parent = cache in self._endpoints.parent_set
@@ -50,54 +59,62 @@
         result = outcome.result
         objective = self._estimates.latency_objective(request)
         if result == "timeout" and outcome.elapsed <= objective / 2.0:
-            return  # the client's patience was short: that says nothing of how much is carried here
+            return  # the client allowed little time, so the time-out says nothing about the load
         late = result in ("full", "timeout") or (result == "ok" and outcome.elapsed > objective)
-        weight = self._weight(request)
-        if is_parent:  # straight to it: unchecked, a lost station's requests crowd out all
+        weight = self._relative_work(request)
+        if is_parent:  # sent directly: without a limit, a zone without caches would crowd out all others
             self._adjust_limit(cache, late, TOLERATED_LATE_FILLS, attempt.sent_at, weight)
             return
-        self._learn_from_fill(attempt, outcome, late, weight)
-        # Without notes "full" is perhaps the source's word; if the cache is full its answers come late too.
-        # A time-out has no note: it may have waited for a fill, and spares a cache that hits speak of.
-        notes_stated = self._context.settings.tells
-        unexplained = not outcome.note and result != "full" and (attempt.source is None or not notes_stated)
-        if outcome.note in ("hit", "no_place") or unexplained:
-            self._adjust_limit(cache, late, TOLERATED_LATE_CACHE, attempt.sent_at, weight)
+        self._record_fill_outcome(attempt, outcome, late, weight)
+        # Without a note "full" may be the source's answer; if the cache itself is full, its answers are late
+        # too. A time-out carries no note and may have waited for a fill, so it does not count against a cache
+        # whose hits are noted.
+        are_notes_stated = self._context.settings.tells
+        is_without_explanation = (
+            not outcome.note and result != "full" and (attempt.source is None or not are_notes_stated)
+        )
+        if outcome.note in ("hit", "no_place") or is_without_explanation:
+            self._adjust_limit(cache, late, TOLERATED_LATE_ANSWERS, attempt.sent_at, weight)
 
     def record_late_fill(self, attempt: AttemptInFlight, request: OpenRequest) -> None:
-        """Count a fill that is late by now: those that hang would tell of a jam too late."""
-        self._record_fill(attempt, True, TOLERATED_LATE_FILLS, self._weight(request))
+        """Count a fill in flight that is already late.
+
+        Fills that hang would otherwise show congestion only when they end, which is too late.
+        """
+        self._record_fill(attempt, True, TOLERATED_LATE_FILLS, self._relative_work(request))
 
-    def _weight(self, request: OpenRequest) -> float:
-        """What an answer counts: its work over the mean of its class."""
+    def _relative_work(self, request: OpenRequest) -> float:
+        """Return the weight of an answer: its transfer time over the mean of its class."""
         return request.transfer_time / self._estimates.class_transfer_time(request.rule)
 
     def _record_fill(self, attempt: AttemptInFlight, late: bool, tolerated: float, weight: float) -> None:
-        attempt.counted_late = late
+        attempt.is_counted_late = late
         throttle = self.fill_throttle(attempt.source)
         throttle.record(self._context.now, late, tolerated, attempt.sent_at, weight)
 
-    def _learn_from_fill(
+    def _record_fill_outcome(
         self, attempt: AttemptInFlight, outcome: i.Outcome, late: bool, weight: float
     ) -> None:
         source = attempt.source
         note = outcome.note
-        failed = note in FILL_FAULTS
-        if source is None or not (failed or (note != "hit" and outcome.result in ("ok", "timeout"))):
+        is_failed_fill = note in FILL_FAULT_NOTES
+        if source is None or not (is_failed_fill or (note != "hit" and outcome.result in ("ok", "timeout"))):
             return
-        tolerated = TOLERATED_LATE_FILLS if self._context.settings.tells else TOLERATED_LATE_BLIND
-        jammed = late or failed or outcome.report.get("link", 0.0) > MAX_FILLS_PER_LINK
-        if not (jammed and attempt.counted_late):
-            self._record_fill(attempt, jammed, tolerated, weight)
+        tolerated = (
+            TOLERATED_LATE_FILLS if self._context.settings.tells else TOLERATED_LATE_FILLS_WITHOUT_NOTES
+        )
+        counts_as_late = late or is_failed_fill or outcome.report.get("link", 0.0) > MAX_FILLS_PER_LINK
+        if not (counts_as_late and attempt.is_counted_late):
+            self._record_fill(attempt, counts_as_late, tolerated, weight)
         if source in self._endpoints.parent_set:
-            self._adjust_limit(source, late or failed, tolerated, attempt.sent_at, weight)
+            self._adjust_limit(source, late or is_failed_fill, tolerated, attempt.sent_at, weight)
 
     def _adjust_limit(
         self, backend: Backend, late: bool, tolerated: float, sent_at: float, weight: float
     ) -> None:
-        """Cut on too many late answers, grow on timely ones while half the limit is in use."""
+        """Cut the limit if too many answers are late; raise it on a timely one if half of it is in use."""
         if backend.lateness.record(self._context.now, late, tolerated, sent_at, weight):
             used = min(backend.concurrency_limit, backend.in_flight + 1.0)
-            backend.concurrency_limit = max(used * LIMIT_CUT, MIN_LIMIT)
+            backend.concurrency_limit = max(used * LIMIT_CUT_FACTOR, MIN_CONCURRENCY_LIMIT)
         elif not late and backend.in_flight >= backend.concurrency_limit / 2.0:
             backend.concurrency_limit += LIMIT_GROWTH * min(weight, 1.0) / backend.concurrency_limit
--- a/beechslip/routing/dispatch.py
+++ b/beechslip/routing/dispatch.py
@@ -1,40 +1,40 @@
-"""Dispatch: opens requests, sends their attempts, and gives each its one final answer."""
+"""Dispatch: opens requests, sends their attempts, and ends each with exactly one final answer."""
 
 from __future__ import annotations
 
 from beechslip.routing import interface as i
-from beechslip.routing.admission import Admission
-from beechslip.routing.context import Context
+from beechslip.routing.admission import AdmissionControl
+from beechslip.routing.context import RoutingContext
 from beechslip.routing.endpoints import EndpointTable
-from beechslip.routing.estimates import Estimates
-from beechslip.routing.freshness import Freshness
-from beechslip.routing.outcomes import NEVER_SENT, PROVEN_NOT_EXECUTED, OutcomeEvidence
+from beechslip.routing.estimates import DurationEstimates
+from beechslip.routing.freshness import FreshnessPolicy
+from beechslip.routing.outcomes import NEVER_SENT_RESULTS, NOT_EXECUTED_RESULTS, OutcomeRecorder
 from beechslip.routing.overdue import OverdueMonitor
 from beechslip.routing.requests import RequestTable
-from beechslip.routing.retries import SAFETY_TICKS, RetryPolicy
-from beechslip.routing.selection import Selector
-from beechslip.routing.slow_start import SlowStart
+from beechslip.routing.retries import MARGIN_TICKS, RetryPolicy
+from beechslip.routing.selection import RouteSelector
+from beechslip.routing.slow_start import SlowStartPolicy
 from beechslip.routing.state import AttemptInFlight, AttemptKey, Backend, OpenRequest
 
 
-class Dispatcher:
-    """Takes requests and outcomes, and changes the request table."""
+class RequestDispatcher:
+    """Handles requests and outcomes, and maintains the request table."""
 
     def __init__(
         self,
-        context: Context,
+        context: RoutingContext,
         endpoints: EndpointTable,
         requests: RequestTable,
-        estimates: Estimates,
-        freshness: Freshness,
-        slow_start: SlowStart,
-        admission: Admission,
-        selector: Selector,
+        estimates: DurationEstimates,
+        freshness: FreshnessPolicy,
+        slow_start: SlowStartPolicy,
+        admission: AdmissionControl,
+        selector: RouteSelector,
         retries: RetryPolicy,
         overdue: OverdueMonitor,
-        evidence: OutcomeEvidence,
+        outcomes: OutcomeRecorder,
     ) -> None:
-        """A dispatcher that asks the given components."""
+        """Create a dispatcher that uses the given components."""
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
@@ -45,13 +45,16 @@
         self._selector = selector
         self._retries = retries
         self._overdue = overdue
-        self._evidence = evidence
+        self._outcomes = outcomes
 
     def on_request(self, event: i.Request) -> None:
-        """Open a request and send its first attempt; one without a rule or the time is rejected at once."""
+        """Open a request and send its first attempt.
+
+        A request of an unknown class, or without the time to be answered, is rejected at once.
+        """
         settings = self._context.settings
         rule = settings.classes.get(event.class_name)
-        if rule is None or event.time_left <= SAFETY_TICKS * settings.tick:
+        if rule is None or event.time_left <= MARGIN_TICKS * settings.tick:
             self._context.actions.append(
                 i.Refuse(event.request, self._retries.retry_after(), "deadline" if rule else "unknown class")
             )
@@ -62,65 +65,71 @@
             return
         self._admission.record_arrival(request)
         self._requests.open[request.request_id] = request
-        self._retries.earn()
-        self._send(request)
+        self._retries.record_new_request()
+        self._send_next_attempt(request)
 
     def on_outcome(self, outcome: i.Outcome) -> None:
-        """Learn from the end of an attempt; then close its request, retry it, or give it up."""
+        """Record the end of an attempt; then close its request, retry it, or end it without a retry."""
         attempt = self._requests.in_flight.pop(AttemptKey(outcome.request, outcome.attempt), None)
         if attempt is None:
             return
         request = self._requests.open.get(outcome.request)
-        self._evidence.learn(attempt, outcome, request)
+        self._outcomes.record(attempt, outcome, request)
         if request is None:
             return
         if outcome.finished or outcome.result == "ok":
             del self._requests.open[outcome.request]
             return
-        if outcome.result not in PROVEN_NOT_EXECUTED:
-            first = request.first_unproven_at
-            request.first_unproven_at = attempt.sent_at if first is None else min(first, attempt.sent_at)
-        request.reached_backend = request.reached_backend or outcome.result not in NEVER_SENT
-        fill_failed = self._evidence.blame_for_request(request, attempt, outcome)
+        if outcome.result not in NOT_EXECUTED_RESULTS:
+            first = request.possibly_executed_since
+            request.possibly_executed_since = (
+                attempt.sent_at if first is None else min(first, attempt.sent_at)
+            )
+        request.has_reached_backend = request.has_reached_backend or outcome.result not in NEVER_SENT_RESULTS
+        fill_failed = self._outcomes.avoid_failed_backend(request, attempt, outcome)
         if not self._retries.may_retry(request, fill_failed):
-            self._give_up(request, self._reason_without_retry(request, outcome))
+            self._serve_stale_or_end(request, self._no_retry_reason(request, outcome))
             return
-        self._retries.spend()
-        self._send(request)
+        self._retries.spend_retry()
+        self._send_next_attempt(request)
 
     def on_client_gone(self, request_id: str) -> None:
-        """Forget a request whose client has left; its attempts in flight still teach by their outcomes."""
+        """Close a request whose client has left; the outcome of its attempt is still recorded."""
         self._requests.open.pop(request_id, None)
 
     def on_shutdown(self) -> None:
         """End every request now.
 
-        What is in flight, or may have run, is rejected only where a repeat is harmless, else failed.
+        A request that is in flight or may have run is rejected only if a repeat is harmless; otherwise it is
+        failed.
         """
         for key, attempt in self._requests.in_flight.items():
             request = self._requests.open.get(key.request_id)
-            if request is not None and request.first_unproven_at is None:
-                request.first_unproven_at = attempt.sent_at
+            if request is not None and request.possibly_executed_since is None:
+                request.possibly_executed_since = attempt.sent_at
         for request in list(self._requests.open.values()):
-            request.last_look_made = True  # no last attempt either
-            self._give_up(request, "shutdown")
+            request.has_made_last_attempt = True  # not even a last attempt at a stale copy
+            self._serve_stale_or_end(request, "shutdown")
 
-    def _send(self, request: OpenRequest) -> None:
-        """Make the next attempt on the ordinary path, or end the request if there is no way."""
+    def _send_next_attempt(self, request: OpenRequest) -> None:
+        """Send the next attempt on the chosen route, or end the request if there is none."""
         cache, source = self._selector.choose_route(request)
         if cache is None or (source is None and request.rule.write):
-            self._give_up(request, "shed" if request.shed else "no backend")
+            self._serve_stale_or_end(request, "shed" if request.is_shed else "no backend")
             return
         if cache in self._endpoints.cache_set and not self._admission.may_fill(request, source):
             source = None
-            request.last_look_made = True
+            request.has_made_last_attempt = True
         self._send_attempt(request, cache, source)
 
     def _send_attempt(self, request: OpenRequest, cache: Backend, source: Backend | None) -> None:
-        """Send it; with no source it only looks, at a copy in its grace if there is one."""
+        """Send an attempt to ``cache``.
+
+        With no source it is cached-only, and a copy within its grace time may answer it.
+        """
         rule = request.rule
         cacheable = not rule.write
-        max_age = self._age_limit(request, source)
+        max_age = self._max_copy_age(request, source)
         key = self._record_attempt(request, cache, source)
         self._context.actions.append(
             i.Attempt(
@@ -134,44 +143,47 @@
                 renew=cacheable and rule.fresh > 0 and source is not None,
             )
         )
-        self._overdue.watch(request, key)
+        self._overdue.schedule_check(request, key)
 
     def _record_attempt(self, request: OpenRequest, cache: Backend, source: Backend | None) -> AttemptKey:
-        """Enter an attempt that is sent now; the first at an ejected backend is its trial."""
+        """Record an attempt that is sent now; the first one to an ejected backend is its trial."""
         attempt = AttemptInFlight(request.attempts, self._context.now, cache, source, request.transfer_time)
         work = self._estimates.class_transfer_time(request.rule)
         for backend in (cache, source):
             if backend is None:
                 continue
-            self._slow_start.charge(backend, work)
+            self._slow_start.record_sent_work(backend, work)
             backend.in_flight += 1
-            if backend.ejected and not backend.trial_in_flight:
-                backend.trial_in_flight = True
-                attempt.trial = backend
+            if backend.is_ejected and not backend.has_trial_in_flight:
+                backend.has_trial_in_flight = True
+                attempt.trial_backend = backend
         key = AttemptKey(request.request_id, request.attempts)
         self._requests.in_flight[key] = attempt
-        attempt.resends_lost_answer = request.resend_lost_answer
-        request.resend_lost_answer = False
+        attempt.retries_lost_answer = request.is_answer_lost
+        request.is_answer_lost = False
         request.attempts += 1
         return key
 
-    def _age_limit(self, request: OpenRequest, source: Backend | None) -> float:
-        """The oldest copy that may answer, s (0: any): the fresh time, with the grace for a mere look."""
+    def _max_copy_age(self, request: OpenRequest, source: Backend | None) -> float:
+        """Return the age limit of a copy in seconds (0: none).
+
+        It is the fresh time, plus the grace time for a cached-only attempt.
+        """
         rule = request.rule
         grace = 0.0 if source else rule.grace
         return self._freshness.oldest_allowed(request, rule.fresh + grace if rule.fresh else 0.0)
 
-    def _reason_without_retry(self, request: OpenRequest, outcome: i.Outcome) -> i.EndReason:
-        """Why a request has no further attempt after this outcome."""
+    def _no_retry_reason(self, request: OpenRequest, outcome: i.Outcome) -> i.EndReason:
+        """Return why a request has no further attempt after this outcome."""
         if outcome.result == "timeout" or request.deadline - self._context.now <= self._context.settings.tick:
             return "deadline"
-        return "not cached" if request.last_look_made else "retries"
+        return "not cached" if request.has_made_last_attempt else "retries"
 
-    def _give_up(self, request: OpenRequest, reason: i.EndReason) -> None:
-        """End a request at once: a permitted stale copy, else rejected if that is harmless, else failed."""
-        cache = self._choose_stale_copy(request)
+    def _serve_stale_or_end(self, request: OpenRequest, reason: i.EndReason) -> None:
+        """Try a stale copy if permitted; else reject the request if a repeat is harmless, or fail it."""
+        cache = self._choose_stale_cache(request)
         if cache is not None:
-            request.last_look_made = True
+            request.has_made_last_attempt = True
             self._send_attempt(request, cache, None)
             return
         del self._requests.open[request.request_id]
@@ -181,10 +193,10 @@
             final = i.Fail(request.request_id, reason)
         self._context.actions.append(final)
 
-    def _choose_stale_copy(self, request: OpenRequest) -> Backend | None:
-        """A cache that may answer with a copy in its grace, if one is permitted and not yet tried."""
+    def _choose_stale_cache(self, request: OpenRequest) -> Backend | None:
+        """Return a cache that may answer with a stale copy, if that is permitted and not yet tried."""
         rule = request.rule
-        if rule.grace <= 0 or rule.fresh <= 0 or request.last_look_made:
+        if rule.grace <= 0 or rule.fresh <= 0 or request.has_made_last_attempt:
             return None
         if not self._retries.may_attempt(request):
             return None
--- a/beechslip/routing/endpoints.py
+++ b/beechslip/routing/endpoints.py
@@ -1,20 +1,20 @@
-"""The endpoint list as this proxy follows it: the zone's caches, the parents, the origin, and their order."""
+"""The endpoint list as known to this proxy: the zone's caches, the parents, the origin and their order."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
 from beechslip.routing import interface as i
-from beechslip.routing.context import Context
+from beechslip.routing.context import RoutingContext
 from beechslip.routing.placement import RendezvousOrder
 from beechslip.routing.state import Backend, OpenRequest
 
 
 class EndpointTable:
-    """Owner of the backends' records, by name, and of who may be asked now."""
+    """Owns the backend records, by name, and the lists of backends that can be used now."""
 
-    def __init__(self, context: Context) -> None:
-        """Start with no backend."""
+    def __init__(self, context: RoutingContext) -> None:
+        """Create a table with no backends."""
         self._context = context
         self.backends: dict[str, Backend] = {}
         self._relevant: dict[str, Backend] = {}  # the zone's caches, the parents and the origin
@@ -27,33 +27,36 @@
         self.parent_order = RendezvousOrder((), ())
 
     def apply(self, update: i.EndpointList) -> None:
-        """Follow the list: a backend that drains or has left gets nothing new from this moment on."""
+        """Apply an update of the list: a draining or removed backend gets no new attempts from now on."""
         if update.kind != "changes":
             listed = {entry.backend for entry in update.entries}
             self.backends = {name: backend for name, backend in self.backends.items() if name in listed}
-        relevant = False
+        any_relevant = False
         for entry in update.entries:
-            relevant = self._apply_entry(entry) or relevant
-        if relevant or update.kind != "changes":
-            self._rebuild()
+            any_relevant = self._apply_entry(entry) or any_relevant
+        if any_relevant or update.kind != "changes":
+            self._rebuild_orders()
 
     def apply_settings(self) -> None:
-        """Sort the backends anew by the context's settings: kinds and the zone are settings too."""
+        """Classify all backends again after a change of settings, which include the zone and the kinds."""
         self._relevant = {
             name: backend for name, backend in self.backends.items() if self._is_relevant(backend.entry)
         }
-        self._rebuild()
+        self._rebuild_orders()
 
     def ranked_caches(self, request: OpenRequest) -> Iterator[Backend]:
-        """Rendezvous order for a copy: every proxy that knows the same caches finds the same one."""
-        return (self.caches[place] for place in self.cache_order.best_first(request.key))
+        """Return the caches in rendezvous order for a copy.
+
+        All proxies that know the same caches find the same order.
+        """
+        return (self.caches[position] for position in self.cache_order.ranked_positions(request.copy_key))
 
     def ranked_parents(self, request: OpenRequest) -> Iterator[Backend]:
-        """Rendezvous order for an object's fills, alike in every zone."""
-        return (self.parents[place] for place in self.parent_order.best_first(request.source_key))
+        """Return the parents in rendezvous order for an object's fills, equal in all zones."""
+        return (self.parents[position] for position in self.parent_order.ranked_positions(request.source_key))
 
     def _apply_entry(self, entry: i.Endpoint) -> bool:
-        """Take one line of the list; whether it concerns the zone's caches, the parents or the origin."""
+        """Apply one entry; return whether it concerns the zone's caches, the parents or the origin."""
         known = self.backends.get(entry.backend)
         if entry.state == "gone":
             self.backends.pop(entry.backend, None)
@@ -77,8 +80,8 @@
             bool(entry.kind) and entry.kind in (settings.parent_kind, settings.origin_kind)
         )
 
-    def _rebuild(self) -> None:
-        """Who may be asked now, with the order of each kind for any key."""
+    def _rebuild_orders(self) -> None:
+        """Rebuild the lists of usable backends and their rendezvous orders."""
         settings = self._context.settings
         parent_kind = settings.parent_kind
         origin_kind = settings.origin_kind
@@ -104,6 +107,10 @@
         return RendezvousOrder([b.salt for b in backends], [self._weight(b) for b in backends])
 
     def _weight(self, backend: Backend) -> float:
-        """A cache's stated size counts in the hash; parents count alike, or a wide one draws too much."""
+        """Return the weight of a backend in the rendezvous order.
+
+        The stated capacity of a cache counts. Parents have equal weights, because a parent with a wide link
+        would otherwise get too many objects.
+        """
         stated = backend.entry.weight > 0 and backend in self.cache_set
         return backend.entry.weight if self._context.weights_are_capacities and stated else 1.0
--- a/beechslip/routing/freshness.py
+++ b/beechslip/routing/freshness.py
@@ -1,6 +1,6 @@
-"""Freshness: the oldest copy that an attempt may be answered with, by class and by recent purges.
+"""Freshness: the age limit on the copy that answers an attempt, by class and by recent purges.
 
-Until every backend has dropped older copies by itself, attempts are bound by a purge.
+A purge limits the age of copies until every backend has dropped the older ones by itself.
 """
 
 from __future__ import annotations
@@ -9,78 +9,91 @@
 from collections import deque
 
 from beechslip.routing import interface as i
-from beechslip.routing.context import CLOCK_GRAIN_S, Context
+from beechslip.routing.context import CLOCK_GRAIN_S, RoutingContext
 from beechslip.routing.state import OpenRequest
 
-UNKNOWN_PROPAGATION_S = 60.0  # s until a purge has reached every backend, where the site does not say
-PROPAGATION_MARGIN_S = 1.0  # s: for a few renewals more
-MAX_PURGES = 50_000  # beyond this the oldest fold into one limit for all objects: safe, but costs fills
+DEFAULT_PROPAGATION_S = 60.0  # s until a purge has reached every backend, if the site does not state it
+PROPAGATION_MARGIN_S = 1.0  # s, allows for a few more renewals
+MAX_PURGES = 50_000  # older ones become one limit for all objects, which is safe but costs fills
 
 
 class PurgeLog:
-    """When each object and group was last purged, in seconds of the module's clock."""
+    """The time of the last purge of each object and group, in seconds of the router's clock."""
 
     def __init__(self) -> None:
-        """Start with no purge."""
-        self.objects: dict[str, float] = {}
-        self.groups: dict[int, float] = {}
-        self.order: deque[tuple[float, str, int]] = deque()
-        self.all_at = -math.inf  # a purge that has been folded into one of all objects
-
-    def add(self, now: float, purge: i.Purge, memory: float) -> None:
-        """Record a purge; those older than ``memory`` seconds are dropped."""
+        """Create an empty log."""
+        self.object_purge_times: dict[str, float] = {}
+        self.group_purge_times: dict[int, float] = {}
+        self.recent_purges: deque[tuple[float, str, int]] = deque()
+        self.all_purged_at = -math.inf  # time of the latest purge that was turned into one of all objects
+
+    def add(self, now: float, purge: i.Purge, retention: float) -> None:
+        """Record a purge, and drop those older than ``retention`` seconds."""
         at = now - purge.age
         if purge.object:
-            at = self.objects[purge.object] = max(at, self.objects.get(purge.object, at))
+            at = self.object_purge_times[purge.object] = max(
+                at, self.object_purge_times.get(purge.object, at)
+            )
         else:
-            at = self.groups[purge.group] = max(at, self.groups.get(purge.group, at))
-        self.order.append((at, purge.object, purge.group))
-        self.forget(now, memory)
-
-    def last(self, now: float, name: str, group: int, memory: float) -> float:
-        """When an object was last purged, by itself, with its group or with all; -inf if it was not."""
-        self.forget(now, memory)
-        return max(self.objects.get(name, -math.inf), self.groups.get(group, -math.inf), self.all_at)
-
-    def forget(self, now: float, memory: float) -> None:
-        """Drop purges older than ``memory`` seconds, and fold the oldest of too many into one of all."""
-        while self.order:
-            at, name, group = self.order[0]
-            old = at <= now - memory
-            if not old and len(self.order) <= MAX_PURGES:
+            at = self.group_purge_times[purge.group] = max(at, self.group_purge_times.get(purge.group, at))
+        self.recent_purges.append((at, purge.object, purge.group))
+        self.drop_old_purges(now, retention)
+
+    def last_purged_at(self, now: float, name: str, group: int, retention: float) -> float:
+        """Return when an object was last purged, by itself, with its group or with all; -inf if never."""
+        self.drop_old_purges(now, retention)
+        return max(
+            self.object_purge_times.get(name, -math.inf),
+            self.group_purge_times.get(group, -math.inf),
+            self.all_purged_at,
+        )
+
+    def drop_old_purges(self, now: float, retention: float) -> None:
+        """Drop purges older than ``retention`` seconds.
+
+        Beyond ``MAX_PURGES`` the oldest purges are turned into one purge of all objects.
+        """
+        while self.recent_purges:
+            at, name, group = self.recent_purges[0]
+            old = at <= now - retention
+            if not old and len(self.recent_purges) <= MAX_PURGES:
                 return
-            self.order.popleft()
+            self.recent_purges.popleft()
             if not old:
-                self.all_at = max(self.all_at, at)
-            if name and self.objects.get(name) == at:
-                del self.objects[name]
-            elif not name and self.groups.get(group) == at:
-                del self.groups[group]
+                self.all_purged_at = max(self.all_purged_at, at)
+            if name and self.object_purge_times.get(name) == at:
+                del self.object_purge_times[name]
+            elif not name and self.group_purge_times.get(group) == at:
+                del self.group_purge_times[group]
 
 
-class Freshness:
-    """Owner of the purge log; answers how old a copy may be."""
+class FreshnessPolicy:
+    """Owns the purge log and computes how old a copy may be."""
 
-    def __init__(self, context: Context) -> None:
-        """Start with no purge."""
+    def __init__(self, context: RoutingContext) -> None:
+        """Create the policy with no recorded purge."""
         self._context = context
         self.purges = PurgeLog()
 
     def record_purge(self, purge: i.Purge) -> None:
-        """Bind all later attempts for what was purged."""
-        self.purges.add(self._context.now, purge, self._memory())
+        """Limit the age of copies for all later attempts for what was purged."""
+        self.purges.add(self._context.now, purge, self._purge_retention())
 
     def oldest_allowed(self, request: OpenRequest, limit: float) -> float:
-        """Age limit for an attempt, s: ``limit`` (0: any) or the time since the last purge, never 0."""
+        """Return the age limit of an attempt in seconds.
+
+        It is the smaller of ``limit`` (0: none) and the time since the last purge. A purge never gives 0.
+        """
         now = self._context.now
-        memory = self._memory()
+        retention = self._purge_retention()
         event = request.event
-        purged_at = self.purges.last(now, event.object, event.group, memory)
-        if now - purged_at > memory:
+        purged_at = self.purges.last_purged_at(now, event.object, event.group, retention)
+        if now - purged_at > retention:
             return limit
         since_purge = max(math.floor((now - purged_at) / CLOCK_GRAIN_S - 1.0), 1.0) * CLOCK_GRAIN_S
         return min(since_purge, limit) if limit else since_purge
 
-    def _memory(self) -> float:
-        propagation = self._context.settings.purge_propagation or UNKNOWN_PROPAGATION_S
+    def _purge_retention(self) -> float:
+        """Return the seconds for which a purge limits the age of copies."""
+        propagation = self._context.settings.purge_propagation or DEFAULT_PROPAGATION_S
         return propagation + PROPAGATION_MARGIN_S
--- a/beechslip/routing/health.py
+++ b/beechslip/routing/health.py
@@ -1,117 +1,135 @@
-"""Health: ejection of outliers, health checks, trial requests, and the return to service."""
+"""Backend health: ejection of outliers, health checks, trial requests and the return to service."""
 
 from __future__ import annotations
 
 import math
 
 from beechslip.routing import interface as i
-from beechslip.routing.cancellation import Cancellation
-from beechslip.routing.context import CLOCK_GRAIN_S, Context
+from beechslip.routing.cancellation import AttemptCancellation
+from beechslip.routing.context import CLOCK_GRAIN_S, RoutingContext
 from beechslip.routing.endpoints import EndpointTable
 from beechslip.routing.state import Backend
-from beechslip.routing.tallies import MEMORY_S
-from beechslip.routing.timers import HealthCheckDue, Timers
-
-MAX_CONNECTION_FAILURES = 2  # in a row; one may be chance, a third would only cost another request
-ALIVE_S = 0.3  # s since its last answer within which a backend runs, whatever one connection suffers
-HEALTH_CHECK_OVERDUE = 3  # overdue attempts in a row at a silent backend that call for a health check
-MAX_OVERDUE_CHECKED = 9  # overdue attempts in a row that eject, whatever the health checks say
-FIRST_EJECTION_S = 0.5  # s of the first ejection, doubling
-MAX_EJECTION_S = 8.0  # s; a fault may last 30 s
-JITTER = (0.9, 1.1)  # factor of an ejection's time: not all proxies return at once
-BLIND_TRIALS = 4  # without notes a hit looks like a fill: it takes several answers to trust a parent again
-SHARED_CAUSE_FACTOR = 2.0  # a backend must be this much worse than its peers, or the cause is behind all
-DEVIATIONS = 3.0  # standard deviations by which it must be so: few attempts prove little
-ASSUMED_FAILURES = 0.5  # of the peers, besides those seen
-ASSUMED_ANSWERS = 4.0  # of the peers, besides those seen
-MIN_FAILURES = 2.0  # what chance may bring
-CACHE_FAILURE_ALLOWANCE = 3.0  # errors that any cache may give by chance; most answers need no source
-
-
-class Health:
-    """Sets the health fields of the backends' records; it alone ejects and restores."""
+from beechslip.routing.tallies import DECAY_TIME_S
+from beechslip.routing.timers import HealthCheckDue, TimerTable
+
+MAX_CONNECTION_FAILURES = 2  # in a row that eject; one may be chance, a third would only cost another request
+RECENT_ANSWER_S = (
+    0.3  # s since its last answer for which a backend counts as running despite broken connections
+)
+OVERDUE_PER_HEALTH_CHECK = 3  # overdue attempts in a row at a silent backend that cause a health check
+MAX_OVERDUE_WITH_CHECKS = 9  # overdue attempts in a row that eject, whatever the health checks show
+FIRST_EJECTION_S = 0.5  # s, duration of the first ejection; each further one lasts twice as long
+MAX_EJECTION_S = 8.0  # s, the longest ejection; a fault may last 30 s
+EJECTION_JITTER = (0.9, 1.1)  # range of a random factor, so that not all proxies return at once
+# Successful trials required where one proves little: after ejection as an error outlier, and for a parent
+# where notes are missing and a hit looks like a fill.
+REPEATED_TRIALS = 4
+OUTLIER_FACTOR = 2.0  # an outlier fails this many times as often as its peers; else the cause may be shared
+OUTLIER_DEVIATIONS = 3.0  # standard deviations above that, since few attempts prove little
+ASSUMED_PEER_FAILURES = 0.5  # failures of the peers, assumed in addition to those recorded
+ASSUMED_PEER_ANSWERS = 4.0  # answers of the peers, assumed in addition to those recorded
+MIN_OUTLIER_FAILURES = 2.0  # failures that may occur by chance
+CACHE_FAILURE_ALLOWANCE = 3.0  # errors that any cache may return by chance; most answers need no source
+
+
+class BackendHealth:
+    """Sets the health fields of the backend records. Only this class ejects and restores backends."""
 
     def __init__(
-        self, context: Context, endpoints: EndpointTable, timers: Timers, cancellation: Cancellation
+        self,
+        context: RoutingContext,
+        endpoints: EndpointTable,
+        timers: TimerTable,
+        cancellation: AttemptCancellation,
     ) -> None:
-        """Health of the listed backends."""
+        """Create the health tracking for the listed backends."""
         self._context = context
         self._endpoints = endpoints
         self._timers = timers
         self._cancellation = cancellation
 
-    def is_alive(self, backend: Backend) -> bool:
-        """Whether it has answered anything just now."""
-        return self._context.now - backend.last_heard_at <= ALIVE_S
+    def has_answered_recently(self, backend: Backend) -> bool:
+        """Return whether a backend has answered within the last ``RECENT_ANSWER_S``."""
+        return self._context.now - backend.last_heard_at <= RECENT_ANSWER_S
 
     def record_answer(self, backend: Backend) -> None:
-        """It has answered, whatever the answer says."""
+        """Record that a backend has answered, whatever the answer was."""
         backend.last_heard_at = self._context.now
         backend.consecutive_overdue = 0
 
-    def record_connection_failure(self, cache: Backend, refused: bool, is_trial: bool) -> None:
-        """Count a connection that was refused or reset, and eject at a failed trial or a second in a row.
+    def record_connection_failure(self, cache: Backend, is_refused: bool, is_trial: bool) -> None:
+        """Count a refused or reset connection; eject the cache on a failed trial or the second one in a row.
 
-        Resets can strike all connections alike, idle and new ones too. What answers meanwhile runs: ejected
-        for that, all caches would be out, and back warming up, with most requests rejected.
+        Resets can affect the connections to all caches alike, both idle and new ones. A cache that still
+        answers is running and is not ejected: otherwise all caches would be ejected and then return in slow
+        start, with most requests rejected.
         """
-        if not is_trial and self.is_alive(cache):
+        if not is_trial and self.has_answered_recently(cache):
             return
         cache.consecutive_connection_failures += 1
-        cache.connection_lost = cache.connection_lost or refused  # a reset alone is no restart
+        cache.has_lost_connection = (
+            cache.has_lost_connection or is_refused
+        )  # a reset alone is no sign of a restart
         if cache.consecutive_connection_failures >= MAX_CONNECTION_FAILURES or is_trial:
             self.eject(cache)
 
     def record_overdue(self, cache: Backend, is_trial: bool) -> None:
-        """Count an attempt that is overdue at a cache that has been silent since it was sent."""
+        """Count an overdue attempt at a cache that has not answered since the attempt was sent.
+
+        Every ``OVERDUE_PER_HEALTH_CHECK`` of them cause a health check; too many in a row eject the cache.
+        """
         cache.consecutive_overdue += 1
-        checked = self._context.settings.can_health_check
-        most = MAX_OVERDUE_CHECKED if checked else HEALTH_CHECK_OVERDUE
-        if is_trial or cache.consecutive_overdue >= most:
+        has_health_checks = self._context.settings.can_health_check
+        max_overdue = MAX_OVERDUE_WITH_CHECKS if has_health_checks else OVERDUE_PER_HEALTH_CHECK
+        if is_trial or cache.consecutive_overdue >= max_overdue:
             self.eject(cache)
-        elif cache.consecutive_overdue % HEALTH_CHECK_OVERDUE == 0:
+        elif cache.consecutive_overdue % OVERDUE_PER_HEALTH_CHECK == 0:
             self._context.actions.append(i.HealthCheck(cache.name))
 
     def record_trial_success(self, backend: Backend) -> None:
-        """A trial request was answered well; the last of those required restores the backend."""
+        """Record a trial request that succeeded; the last one required restores the backend."""
         backend.trials_required -= 1
         if backend.trials_required <= 0:
             self.restore(backend)
 
     def record_health_check(self, event: i.HealthCheckResult) -> None:
-        """A passed check shows that the process runs: enough for one trial request, not for more."""
+        """Record the result of a health check; a failed one ejects the backend.
+
+        A passed one shows that the process runs, which permits one trial request and no more.
+        """
         backend = self._endpoints.backends.get(event.backend)
         if backend is None:
             return
         if event.result == "ok":
-            backend.health_check_passed = backend.ejected
+            backend.has_passed_health_check = backend.is_ejected
             backend.last_heard_at = self._context.now
             return
-        backend.connection_lost = True
+        backend.has_lost_connection = True
         backend.ejected_until = min(backend.ejected_until, self._context.now)
         self.eject(backend)
 
     def on_health_check_due(self, name: str) -> None:
-        """Ask for a health check, if the backend's ejection has ended and none has passed."""
+        """Request a health check if the backend's ejection time is over and no check has been passed."""
         backend = self._endpoints.backends.get(name)
-        if backend is None or not backend.ejected or backend.health_check_passed:
+        if backend is None or not backend.is_ejected or backend.has_passed_health_check:
             return
         if self._context.now >= backend.ejected_until - CLOCK_GRAIN_S:
             self._context.actions.append(i.HealthCheck(name))
 
     def record_failure(self, backend: Backend) -> None:
-        """Count a failure against a source or a cache, and eject one that fails far more than its peers.
+        """Count a failure of a source or a cache, and eject it if it fails far more often than its peers.
 
-        When the others fail alike the cause is shared, most likely the origin, and ejecting would only
-        move the load. Failures through one bad cache reach all parents alike and are told apart so, as are
-        those of one parent, which come through all caches. Guards against a backend that answers at once, and
-        with an error: it looks quick and alive. Harm: a cache with the objects that fail idles for a while.
+        If the peers fail as often, the cause is shared, most likely the origin, and an ejection would only
+        move the load. Failures caused by one bad cache are spread evenly over the parents, and those of one
+        parent over the caches, so the two can be told apart. This guards against a backend that answers at
+        once but with an error, and so appears quick and alive. The cost is that a cache which holds the
+        failing objects is idle for a while.
         """
         backend.failures.add(self._context.now, 1.0)
         if backend is self._endpoints.origin:
             return
         is_cache = backend in self._endpoints.cache_set
-        if backend.ejected:
+        if backend.is_ejected:
             if not is_cache:
                 self.eject(backend)
             return
@@ -120,53 +138,73 @@
             self.eject(backend)
 
     def eject(self, backend: Backend) -> None:
-        """Pass a backend's objects to the next in rank for a growing while, and cancel what waits there."""
+        """Eject a backend for a time that doubles with each ejection; the origin is never ejected.
+
+        Meanwhile its objects go to the next backend in rank. When a cache that was in service is ejected, the
+        attempts that wait there are cancelled where that is permitted.
+        """
         now = self._context.now
-        if backend is self._endpoints.origin or (backend.ejected and now < backend.ejected_until):
+        if backend is self._endpoints.origin or (backend.is_ejected and now < backend.ejected_until):
             return
-        backend.backoff = min(max(2.0 * backend.backoff, FIRST_EJECTION_S), MAX_EJECTION_S)
-        backend.ejected_until = now + backend.backoff * self._context.random.uniform(*JITTER)
-        is_first = not backend.ejected
-        backend.ejected = True
-        backend.health_check_passed = False
-        blind = backend in self._endpoints.parent_set and not self._context.settings.tells
-        backend.trials_required = BLIND_TRIALS if backend.is_error_outlier or blind else 1
+        backend.ejection_duration = min(
+            max(2.0 * backend.ejection_duration, FIRST_EJECTION_S), MAX_EJECTION_S
+        )
+        backend.ejected_until = now + backend.ejection_duration * self._context.random.uniform(
+            *EJECTION_JITTER
+        )
+        is_first = not backend.is_ejected
+        backend.is_ejected = True
+        backend.has_passed_health_check = False
+        is_parent_without_notes = backend in self._endpoints.parent_set and not self._context.settings.tells
+        backend.trials_required = (
+            REPEATED_TRIALS if backend.is_error_outlier or is_parent_without_notes else 1
+        )
         if self._context.settings.can_health_check:
             self._timers.start(backend.ejected_until - now, HealthCheckDue(backend.name))
         if is_first and backend in self._endpoints.cache_set:
             self._cancellation.cancel_at(backend)
 
     def restore(self, backend: Backend) -> None:
-        """Back in service; one whose connections broke has most likely restarted, and warms up again."""
+        """Return a backend to service.
+
+        If connections to it were lost it has most likely restarted, and starts slowly again.
+        """
         now = self._context.now
-        restarted = backend.connection_lost
+        has_restarted = backend.has_lost_connection
         backend.reset_health()
-        if restarted:
+        if has_restarted:
             backend.started_at = max(backend.started_at, now)
         backend.last_heard_at = now
         backend.in_service_since = now
 
     def _is_outlier(self, backend: Backend, is_cache: bool) -> bool:
-        """Whether it fails more often than its peers in service do, beyond chance."""
+        """Return whether a backend fails more often than its peers in service, beyond chance."""
         now = self._context.now
         peers = self._peers_in_service(backend, is_cache)
-        failures = backend.failures.read(now)
-        successes = backend.successes.read(now)
-        peer_failures = sum(p.failures.read(now) for p in peers)
-        peer_answers = peer_failures + sum(p.successes.read(now) for p in peers)
-        failure_rate = (failures + successes) * (peer_failures + ASSUMED_FAILURES)
-        expected = failure_rate / (peer_answers + ASSUMED_ANSWERS)
+        failures = backend.failures.value_at(now)
+        successes = backend.successes.value_at(now)
+        peer_failures = sum(p.failures.value_at(now) for p in peers)
+        peer_answers = peer_failures + sum(p.successes.value_at(now) for p in peers)
+        failure_rate = (failures + successes) * (peer_failures + ASSUMED_PEER_FAILURES)
+        expected = failure_rate / (peer_answers + ASSUMED_PEER_ANSWERS)
         allowance = CACHE_FAILURE_ALLOWANCE * is_cache
-        most = SHARED_CAUSE_FACTOR * expected + DEVIATIONS * math.sqrt(expected) + allowance
-        return failures > max(most, MIN_FAILURES) and bool(peers)
+        max_failures = OUTLIER_FACTOR * expected + OUTLIER_DEVIATIONS * math.sqrt(expected) + allowance
+        return failures > max(max_failures, MIN_OUTLIER_FAILURES) and bool(peers)
 
     def _peers_in_service(self, backend: Backend, is_cache: bool) -> list[Backend]:
-        """Over the same time: beside one that was away in a fault, what went through it would look bad."""
+        """Return the peers that were in service for the whole time over which the backend is judged.
+
+        Compared with a peer that was out of service during a fault, a backend that served meanwhile would
+        look bad.
+        """
         endpoints = self._endpoints
         peers = endpoints.caches if is_cache else [*endpoints.parents, *filter(None, [endpoints.origin])]
-        since = max(backend.in_service_since, self._context.now - MEMORY_S)
+        since = max(backend.in_service_since, self._context.now - DECAY_TIME_S)
         return [
             p
             for p in peers
-            if p is not backend and p.entry.state == "ready" and not p.ejected and p.in_service_since <= since
+            if p is not backend
+            and p.entry.state == "ready"
+            and not p.is_ejected
+            and p.in_service_since <= since
         ]
--- a/beechslip/routing/interface.py
+++ b/beechslip/routing/interface.py
@@ -1,8 +1,8 @@
 """Settings, events and actions of the routing decisions.
 
-Plain data without behaviour: times are seconds (the clock only moves forward), sizes are KB, and a
-zero or an empty value means that the site does not state it. What follows from a value is decided by
-the components of ``beechslip/routing/router.py``.
+This module holds plain data without behaviour. Times are in seconds on a clock that only moves forward, sizes
+are in KB, and a zero or an empty value means that the site does not state it. The components of
+``beechslip/routing/router.py`` decide what follows from a value.
 """
 
 from __future__ import annotations
@@ -12,7 +12,10 @@
 from typing import Literal, TypeAlias
 
 ListKind: TypeAlias = Literal["changes", "all", "remembered", "refused"]
-"""Changed entries, all entries, all entries as remembered (perhaps old), or a refused subscription."""
+"""What an endpoint list holds.
+
+One of: changed entries, all entries, all entries from memory (possibly outdated), or a refused subscription.
+"""
 
 
 EndReason: TypeAlias = Literal[
@@ -20,80 +23,81 @@
 ]
 """Why a request ends without an answer, for the log.
 
-Rejected for load, no backend to send it to, not cached where a fill was not permitted, no time left, no
-further attempt permitted or worth its while, the program ends, or a class without a rule.
+In this order: not stated, rejected for load, no backend to send it to, not cached while a fill was not
+permitted, no time left, no further attempt permitted or useful, shutdown of the program, a class without a
+rule.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
-    """What the site says of one class of request."""
+    """The site's rule for one class of requests."""
 
     name: str
-    latency_objective: float = 0.0  # answered within this earns the full priority weight
-    latency_objective_stretch: float = 0.0  # it grows by this multiple of the transfer time
-    deadline: float = 0.0  # the client's wait over all its attempts
-    priority_weight: float = 0.0  # what an answer is worth to the site, relative to other classes
-    late_weight: float = 0.0  # fraction of the weight that a late answer still earns
+    latency_objective: float = 0.0  # an answer within this time earns the full priority weight
+    latency_objective_stretch: float = 0.0  # the objective grows by this multiple of the transfer time
+    deadline: float = 0.0  # the client's wait over all attempts
+    priority_weight: float = 0.0  # value of an answer to the site, relative to other classes
+    late_weight: float = 0.0  # fraction of the weight that a late answer earns
     effect: str = ""  # "safe", "keyed", or "unsafe"; anything else counts as unsafe
     group: str = ""  # keyed: which backends discard repeats ("all", "zone", "cell")
-    window: float = 0.0  # keyed: for how long they do
-    write: bool = False  # never cached; runs at the origin
-    fresh: float = 0.0  # fresh time of a copy (0: no limit)
-    grace: float = 0.0  # time past fresh in which a copy may still be served
+    window: float = 0.0  # keyed: for how long they discard them
+    write: bool = False  # never cached; executed at the origin
+    fresh: float = 0.0  # time for which a copy is fresh (0: no limit)
+    grace: float = 0.0  # further time for which a stale copy may be served
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the site states to one instance; fields whose names end in no unit are seconds or counts."""
+    """What the site states to one instance. Fields without a unit in their name are seconds or counts."""
 
     me: int = 0  # number of this instance
-    proxies: int = 0  # instances of the fleet, which share parents and the origin
+    proxies: int = 0  # instances in the fleet, which share the parents and the origin
     zone: str = ""
     proxies_in_zone: int = 0  # instances that share the zone's caches
     classes: dict[str, ClassRule] = field(default_factory=dict)
-    parent_kind: str = ""  # kind of the backends that supply the caches' fills
+    parent_kind: str = ""  # kind of the backends that supply the fills of caches
     origin_kind: str = ""  # kind of the one backend that has every object
-    list_on_request: bool = False  # the endpoint list is sent only to those that subscribe
-    poll_interval: float = 0.0  # without a request for so long, the list of then is deemed known
-    tick: float = 0.0  # batches of events come no more often
-    max_attempts: int = 0  # attempts of one request
+    list_on_request: bool = False  # the endpoint list is sent only to subscribers
+    poll_interval: float = 0.0  # the list counts as known after this time without a request for it
+    tick: float = 0.0  # shortest time between two batches of events
+    max_attempts: int = 0  # limit on the attempts of one request
     can_cancel: bool = False  # attempts can be cancelled
     can_health_check: bool = False  # backends answer health checks
-    hedging: bool = False  # two attempts of a request may be in flight
-    retry_after: bool = False  # rejections can state when to return
+    hedging: bool = False  # two attempts of a request may be in flight at once
+    retry_after: bool = False  # rejections can state when the client may return
     max_retry_after: float = 0.0
     connect_timeout: float = 0.0
-    weights: str = ""  # what a backend's weight means: "nominal", "rough", "live", or ""
-    slow_start_share: float = 0.0  # fraction of its capacity that a cache gives when it has just started
-    slow_start_time: float = 0.0  # until it gives all
-    overload_multiple: float = 0.0  # of its present capacity, above which a cache collapses
-    overload_window: float = 0.0  # for which it must be exceeded
-    drain_grace: float = 0.0  # a draining backend gets nothing new from so long after the notice
-    parent_slow_start_share: float = 0.0  # the same of parents
+    weights: str = ""  # meaning of a backend's weight: "nominal", "rough", "live", or ""
+    slow_start_share: float = 0.0  # fraction of its capacity that a cache has just after its start
+    slow_start_time: float = 0.0  # time until a started cache has its full capacity
+    overload_multiple: float = 0.0  # multiple of its present capacity above which a cache collapses
+    overload_window: float = 0.0  # time for which the multiple must be exceeded
+    drain_grace: float = 0.0  # time after the notice from which a draining backend gets nothing new
+    parent_slow_start_share: float = 0.0  # these three: the same for parents
     parent_slow_start_time: float = 0.0
     parent_overload_multiple: float = 0.0
-    purge_propagation: float = 0.0  # until a purge has reached every backend
+    purge_propagation: float = 0.0  # time until a purge has reached every backend
     flow_kb_s: float = 0.0  # KB/s of one transfer to a client
-    direct: bool = False  # parents and the origin take attempts too
+    direct: bool = False  # parents and the origin accept attempts too
     joins: bool = False  # caches can join a request to a fill in progress
     siblings: str = ""  # which caches can supply a fill: "location", "any", or ""
     tells: str = ""  # what the notes of outcomes state: "all", "hit", or ""
     max_open_requests: int = 0  # limit on the open requests of an instance
-    conn_idle: float = 0.0  # idle connections to backends are closed after this
+    conn_idle: float = 0.0  # time after which idle connections to backends are closed
     reports: bool = False  # answers carry load reports
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One backend as the endpoint list names it."""
+    """One entry of the endpoint list."""
 
     backend: str
     kind: str = ""
     zone: str = ""
     state: str = "ready"  # "ready", "draining", or "gone"
     weight: float = 0.0  # see Settings.weights
-    cell: int = 0  # the small set of backends that exchange which keys each has seen
+    cell: int = 0  # number of the small set of backends that share which keys they have seen
     started: float = 0.0  # clock time of its last start (0: long ago)
 
 
@@ -102,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The endpoint list, or what has changed of it."""
+    """The endpoint list or its changes."""
 
     kind: ListKind
     entries: tuple[Endpoint, ...] = ()
@@ -110,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request, to be answered exactly once."""
+    """A client's request, which must be answered exactly once."""
 
     request: str
     class_name: str
@@ -120,16 +124,16 @@
     size_kb: float = 0.0
     time_left: float = 0.0
     repeat: bool = False
-    conditional: bool = False  # the client has a copy: the answer may need no bytes
+    conditional: bool = False  # the client has a copy, so the answer may need no bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
     """How an attempt ended.
 
-    ``result`` is one of ok, error, full, timeout, connect_failed, reset, cancelled, moot, and miss;
-    ``note`` one of hit, filled, filled_origin, joined, stale, source_refused, source_lost,
-    source_lacks, no_place, origin_failed, or empty.
+    ``result`` is one of ok, error, full, timeout, connect_failed, reset, cancelled, moot and miss.
+    ``note`` is one of hit, filled, filled_origin, joined, stale, source_refused, source_lost, source_lacks,
+    no_place and origin_failed, or empty.
     """
 
     request: str
@@ -145,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """How a health check ended; ``result`` as in ``Outcome``, ``elapsed`` in seconds."""
+    """How a health check ended; ``result`` is as in ``Outcome``, ``elapsed`` is in seconds."""
 
     backend: str
     result: str
@@ -155,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstByte:
-    """A streamed answer has started: the client owns this attempt from now on."""
+    """A streamed answer has started, so its attempt must not be cancelled any more."""
 
     request: str
     attempt: int
@@ -164,14 +168,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client has left; the request needs no answer any longer."""
+    """The client has left, so the request needs no answer."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """An object (or, with no object, a whole group) was purged ``age`` seconds ago."""
+    """An object was purged ``age`` seconds ago; with no object, the whole group was."""
 
     object: str = ""
     group: int = 0
@@ -180,25 +184,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer set earlier has come due."""
+    """A timer that was set earlier fires."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings hold from now on; open requests keep the rule of their class."""
+    """New settings apply from now on; open requests keep the rule of their class."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class Quotas:
-    """This instance's quotas of the fleet-wide limits. What is not named is divided as before.
+    """This instance's quotas of the fleet-wide limits. Limits without a quota are divided as before.
 
-    ``retries``: retries in vain that may be made now (``None``: unknown). ``fills``: by backend, the most
-    attempts in flight to and through it. ``cold``: by backend in slow start, this instance's part of the
-    backend's full capacity (transfers at full pace).
+    Attributes:
+        retries: the number of failing retries that may be made now (``None``: unknown).
+        fills: by backend, the limit on attempts in flight to it and through it.
+        cold: by backend in slow start, this instance's part of the backend's full capacity, in transfers at
+            full speed.
     """
 
     retries: float | None = None
@@ -208,10 +214,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionShares:
-    """What the fleet sends to the backends of a region that it fails over from or back to.
+    """What the fleet sends to the backends of a region during a failover or its reversal.
 
-    ``shares``: by backend, the part of the objects (0 to 1, in an order that all instances share) that may go
-    there. A backend that is not named takes all.
+    Attributes:
+        shares: by backend, the fraction of the objects (0 to 1, in an order that is the same for all
+            instances) that it may serve. A backend that is not named may serve all.
     """
 
     shares: dict[str, float] = field(default_factory=dict)
@@ -219,12 +226,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Shutdown:
-    """The program ends: every open request is to have its final answer now."""
+    """The program ends, and every open request must get its final answer now."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another instance of the tier."""
+    """A message from another instance of the tier."""
 
     sender: int
     body: bytes = b""
@@ -251,10 +258,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """Send a request to a backend, for ``timeout`` seconds at the most.
+    """Send a request to a backend and wait for ``timeout`` seconds at most.
 
-    ``source`` supplies a miss (the backend itself: no fill); ``keep`` is the rank of the copy (0: none);
-    ``max_age`` limits the copy's age (0: the class's fresh time).
+    ``source`` fills a miss; if it is the backend itself, there is no fill. ``keep`` is the rank of the stored
+    copy (0: none is stored). ``max_age`` limits the copy's age (0: the class's fresh time).
     """
 
     request: str
@@ -265,12 +272,12 @@
     max_age: float = 0.0
     join: bool = False
     renew: bool = False
-    cached_only: bool = False  # the source gives only what it has cached
+    cached_only: bool = False  # the source answers only from its cache
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     request: str
     attempt: int
@@ -278,7 +285,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: rejected, a retry does no harm; ``retry_after`` says when to come back."""
+    """Final answer: rejected, and a retry is harmless after ``retry_after`` seconds (0: not stated)."""
 
     request: str
     retry_after: float = 0.0
@@ -287,7 +294,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise about what it did."""
+    """Final answer: failed; it is not stated whether the request was executed."""
 
     request: str
     reason: EndReason = ""
@@ -302,7 +309,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a ``Timer`` event after ``delay`` seconds."""
+    """Request a ``Timer`` event after ``delay`` seconds."""
 
     delay: float
     token: int
@@ -315,7 +322,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/beechslip/routing/outcomes.py
+++ b/beechslip/routing/outcomes.py
@@ -1,44 +1,44 @@
-"""Outcomes of attempts, read as evidence: on the cache, on the source, or on neither."""
+"""Evaluation of outcomes: what an attempt's end shows about its cache, its source or neither."""
 
 from __future__ import annotations
 
 from beechslip.routing import interface as i
-from beechslip.routing.admission import BUSY_LINK, Admission
-from beechslip.routing.concurrency import FILL_FAULTS, ConcurrencyLimits
-from beechslip.routing.context import Context
+from beechslip.routing.admission import BUSY_LINK_FRACTION, AdmissionControl
+from beechslip.routing.concurrency import FILL_FAULT_NOTES, ConcurrencyLimits
+from beechslip.routing.context import RoutingContext
 from beechslip.routing.endpoints import EndpointTable
-from beechslip.routing.estimates import Estimates
-from beechslip.routing.health import Health
+from beechslip.routing.estimates import DurationEstimates
+from beechslip.routing.health import BackendHealth
 from beechslip.routing.overdue import OverdueMonitor
 from beechslip.routing.retries import RetryPolicy
-from beechslip.routing.slow_start import SlowStart
+from beechslip.routing.slow_start import SlowStartPolicy
 from beechslip.routing.state import AttemptInFlight, Backend, OpenRequest
 
-PROVEN_NOT_EXECUTED = frozenset({"full", "connect_failed", "moot", "miss"})
-NEVER_SENT = frozenset({"connect_failed", "moot"})
-ANSWERED = frozenset({"ok", "miss", "full"})
-BROKEN_CONNECTION = frozenset({"connect_failed", "reset"})
-FILLED = frozenset({"filled", "filled_origin"})
-SOURCE_FAULTS = frozenset({"source_lost", "source_lacks"})
-PERHAPS_SOURCE_FAULT = frozenset({"miss", "full", "error"})  # without a note
+NOT_EXECUTED_RESULTS = frozenset({"full", "connect_failed", "moot", "miss"})
+NEVER_SENT_RESULTS = frozenset({"connect_failed", "moot"})
+ANSWERED_RESULTS = frozenset({"ok", "miss", "full"})
+CONNECTION_FAILURE_RESULTS = frozenset({"connect_failed", "reset"})
+FILLED_NOTES = frozenset({"filled", "filled_origin"})
+SOURCE_FAULT_NOTES = frozenset({"source_lost", "source_lacks"})
+POSSIBLE_SOURCE_FAULT_RESULTS = frozenset({"miss", "full", "error"})  # if they carry no note
 
 
-class OutcomeEvidence:
-    """Hands each outcome to the components that learn from it; it holds no state of its own."""
+class OutcomeRecorder:
+    """Passes each outcome to the components that use it. It has no state of its own."""
 
     def __init__(
         self,
-        context: Context,
+        context: RoutingContext,
         endpoints: EndpointTable,
-        estimates: Estimates,
-        slow_start: SlowStart,
+        estimates: DurationEstimates,
+        slow_start: SlowStartPolicy,
         limits: ConcurrencyLimits,
-        admission: Admission,
+        admission: AdmissionControl,
         retries: RetryPolicy,
-        health: Health,
+        health: BackendHealth,
         overdue: OverdueMonitor,
     ) -> None:
-        """Evidence for the given components."""
+        """Create a recorder that passes outcomes to the given components."""
         self._context = context
         self._endpoints = endpoints
         self._estimates = estimates
@@ -49,8 +49,8 @@
         self._health = health
         self._overdue = overdue
 
-    def learn(self, attempt: AttemptInFlight, outcome: i.Outcome, request: OpenRequest | None) -> None:
-        """Learn from how an attempt ended; ``request`` is ``None`` where it has ended before."""
+    def record(self, attempt: AttemptInFlight, outcome: i.Outcome, request: OpenRequest | None) -> None:
+        """Record how an attempt ended; ``request`` is ``None`` if the request has already ended."""
         cache = attempt.cache
         cache.in_flight -= 1
         if attempt.source is not None:
@@ -58,100 +58,105 @@
         if outcome.report and cache in self._endpoints.cache_set:
             report = outcome.report
             self._admission.record_load_report(cache, report.get("busy", 0.0), report.get("held", 0.0))
-        self._limits.learn(attempt, request, outcome)
-        trial = attempt.trial
-        attempt.trial = None
-        if trial is not None:
-            trial.trial_in_flight = False
-        self._learn_of_cache(attempt, outcome, request, trial)
-        self._learn_of_source(attempt.source, outcome, request, trial)
+        self._limits.record_outcome(attempt, request, outcome)
+        trial_backend = attempt.trial_backend
+        attempt.trial_backend = None
+        if trial_backend is not None:
+            trial_backend.has_trial_in_flight = False
+        self._record_for_cache(attempt, outcome, request, trial_backend)
+        self._record_for_source(attempt.source, outcome, request, trial_backend)
 
-    def blame_for_request(self, request: OpenRequest, attempt: AttemptInFlight, outcome: i.Outcome) -> bool:
-        """Have the request's next attempt avoid what failed this one; returns whether the fill failed."""
+    def avoid_failed_backend(
+        self, request: OpenRequest, attempt: AttemptInFlight, outcome: i.Outcome
+    ) -> bool:
+        """Exclude the failed backend from the request's next attempts; return whether the fill failed."""
         result = outcome.result
         note = outcome.note
         cache = attempt.cache
-        fill_failed = note in FILL_FAULTS or (not note and result in PERHAPS_SOURCE_FAULT)
-        # A connection that broke at a backend that runs says nothing of it: the copy is at home.
-        broken = result == "connect_failed" or (result == "reset" and not self._health.is_alive(cache))
-        # A "full" without a note, of a cache that reports a free link, is the word of its source.
-        link_free = outcome.report.get("busy", 1.0) <= BUSY_LINK and attempt.source is not None
-        rejected = result == "full" and note != "source_refused" and not link_free
-        if broken or rejected or note == "no_place":
-            request.avoided.append(cache)
+        fill_failed = note in FILL_FAULT_NOTES or (not note and result in POSSIBLE_SOURCE_FAULT_RESULTS)
+        # A connection reset at a cache that still answers is no reason to avoid it: it holds the copy.
+        is_connection_broken = result == "connect_failed" or (
+            result == "reset" and not self._health.has_answered_recently(cache)
+        )
+        # A "full" without a note, from a cache that reports a free link, is the answer of its source.
+        is_link_free = outcome.report.get("busy", 1.0) <= BUSY_LINK_FRACTION and attempt.source is not None
+        is_rejected = result == "full" and note != "source_refused" and not is_link_free
+        if is_connection_broken or is_rejected or note == "no_place":
+            request.avoided_backends.append(cache)
         elif fill_failed and attempt.source is not None:
-            request.avoided.append(attempt.source)
+            request.avoided_backends.append(attempt.source)
         return fill_failed
 
-    def _learn_of_cache(
+    def _record_for_cache(
         self,
         attempt: AttemptInFlight,
         outcome: i.Outcome,
         request: OpenRequest | None,
-        trial: Backend | None,
+        trial_backend: Backend | None,
     ) -> None:
         cache = attempt.cache
         result = outcome.result
-        if result in ANSWERED:
+        if result in ANSWERED_RESULTS:
             self._health.record_answer(cache)
         if result == "ok":
-            self._learn_from_success(attempt, outcome, request, trial)
-        elif result in BROKEN_CONNECTION:
-            refused = result == "connect_failed"
-            self._health.record_connection_failure(cache, refused, trial is cache)
-        elif result in ("error", "timeout") and trial is cache:
+            self._record_success(attempt, outcome, request, trial_backend)
+        elif result in CONNECTION_FAILURE_RESULTS:
+            is_refused = result == "connect_failed"
+            self._health.record_connection_failure(cache, is_refused, trial_backend is cache)
+        elif result in ("error", "timeout") and trial_backend is cache:
             self._health.eject(cache)
         if result == "error" and not outcome.note and cache in self._endpoints.cache_set:
             self._health.record_failure(cache)
 
-    def _learn_of_source(
+    def _record_for_source(
         self,
         source: Backend | None,
         outcome: i.Outcome,
         request: OpenRequest | None,
-        trial: Backend | None,
+        trial_backend: Backend | None,
     ) -> None:
         if source is None:
             return
         result = outcome.result
         note = outcome.note
-        faulty = note in SOURCE_FAULTS or (not note and result in PERHAPS_SOURCE_FAULT)
-        if faulty and not (request and request.last_look_made):
+        is_faulty = note in SOURCE_FAULT_NOTES or (not note and result in POSSIBLE_SOURCE_FAULT_RESULTS)
+        if is_faulty and not (request and request.has_made_last_attempt):
             self._health.record_failure(source)
-        elif trial is source and result in ("timeout", "cancelled"):
+        elif trial_backend is source and result in ("timeout", "cancelled"):
             self._health.eject(source)
 
-    def _learn_from_success(
+    def _record_success(
         self,
         attempt: AttemptInFlight,
         outcome: i.Outcome,
         request: OpenRequest | None,
-        trial: Backend | None,
+        trial_backend: Backend | None,
     ) -> None:
         now = self._context.now
         cache = attempt.cache
         source = attempt.source
         cache.consecutive_connection_failures = 0
         if attempt.number and source is not None:
-            self._retries.refund()
-        self._overdue.learn_from_answer(attempt)
-        # By own size: with the large rejected, the class's mean would make a backend look too strong.
+            self._retries.refund_retry()
+        self._overdue.record_success(attempt)
+        # The request's own transfer time is used: while large requests are rejected, the mean of the class
+        # would overstate the capacity of the backend.
         work = attempt.transfer_time
         if request:
-            self._estimates.learn_patience(request, outcome.elapsed)
-            self._estimates.learn_copy(request, outcome.elapsed)
+            self._estimates.update_overdue_factor(request, outcome.elapsed)
+            self._estimates.record_copy_time(request, outcome.elapsed)
             work = request.transfer_time
             if outcome.note == "hit":
-                self._admission.record_pace(cache, request, outcome.elapsed)
-        filled = outcome.note in FILLED
+                self._admission.record_hit_time(cache, request, outcome.elapsed)
+        is_filled = outcome.note in FILLED_NOTES
         tells = self._context.settings.tells
         cache.successes.add(now, 1.0)
-        if source is not None and (filled or not tells):  # a hit says nothing of it
+        if source is not None and (is_filled or not tells):  # a hit says nothing about the source
             source.successes.add(now, 1.0)
-        self._slow_start.learn_capacity(cache, work)
+        self._slow_start.record_served_work(cache, work)
         if source is not None:
-            self._slow_start.learn_capacity(source, work)
-        if trial is None:
+            self._slow_start.record_served_work(source, work)
+        if trial_backend is None:
             return
-        if trial is cache or filled or tells == "" or trial is self._endpoints.origin:
-            self._health.record_trial_success(trial)
+        if trial_backend is cache or is_filled or tells == "" or trial_backend is self._endpoints.origin:
+            self._health.record_trial_success(trial_backend)
--- a/beechslip/routing/requests.py
+++ b/beechslip/routing/requests.py
@@ -1,4 +1,4 @@
-"""The open requests of one router, and their attempts in flight."""
+"""The open requests of one router and their attempts in flight."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class RequestTable:
-    """Owner of both tables.
+    """Holds the open requests and the attempts in flight.
 
     Attributes:
-        open: requests that await their final answer, by identifier, in order of arrival.
-        in_flight: attempts that have not ended, in order of sending; a request may end before them.
+        open: requests without a final answer, by identifier, in order of arrival.
+        in_flight: attempts that have not ended, in order of sending; a request may end before its attempt.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create empty tables."""
         self.open: dict[str, OpenRequest] = {}
         self.in_flight: dict[AttemptKey, AttemptInFlight] = {}
--- a/beechslip/routing/retries.py
+++ b/beechslip/routing/retries.py
@@ -1,96 +1,105 @@
-"""Retries: the budget of attempts in vain, when another attempt may be made, and when clients may return."""
+"""Retries: their budget, when another attempt may be made, and when a rejected client may return."""
 
 from __future__ import annotations
 
 from beechslip.routing import interface as i
-from beechslip.routing.context import Context
+from beechslip.routing.context import RoutingContext
 from beechslip.routing.endpoints import EndpointTable
-from beechslip.routing.estimates import Estimates
+from beechslip.routing.estimates import DurationEstimates
 from beechslip.routing.state import OpenRequest
 
-BUDGET_EARNED = 0.1  # retries in vain earned by each request
-BUDGET_MAX = 10.0  # retries in vain saved up at the most
-MAX_ATTEMPTS = 4  # home, next in rank, another source, a stale look; more only feeds a fire
-MAX_UNSEEN_FRACTION = 0.45  # of its time, after which a request that no backend has seen is ended
-DEFAULT_RETRY_AFTER_S = 0.5  # s: the first ejection's time
-RETURN_SPREAD = 0.5  # of the wait, over which the clients' returns are spread
-SAFETY_TICKS = 2  # clock ticks left at a deadline or a window's end
+BUDGET_PER_REQUEST = 0.1  # retries added to the budget by each request
+MAX_BUDGET = 10.0  # retries, the most that the budget can hold
+MAX_ATTEMPTS = 4  # first cache, next in rank, another source, a stale copy; more would only add load
+MAX_UNREACHED_FRACTION = 0.45  # of its time, after which a request that has reached no backend is ended
+DEFAULT_RETRY_AFTER_S = 0.5  # s, the duration of a first ejection
+RETRY_AFTER_SPREAD = 0.5  # fraction of the wait over which the returns of clients are spread
+MARGIN_TICKS = 2  # clock ticks kept as a margin before a deadline or the end of a window
 
 
 class RetryPolicy:
-    """Owner of the retry budget."""
+    """Owns the retry budget, which limits retries that fail, and decides on retries."""
 
-    def __init__(self, context: Context, endpoints: EndpointTable, estimates: Estimates) -> None:
-        """Start with a full budget."""
+    def __init__(
+        self, context: RoutingContext, endpoints: EndpointTable, estimates: DurationEstimates
+    ) -> None:
+        """Create the policy with a full budget."""
         self._context = context
         self._endpoints = endpoints
         self._estimates = estimates
-        self.budget = BUDGET_MAX  # retries
+        self.budget = MAX_BUDGET  # retries
 
-    def earn(self) -> None:
-        """Count a new request towards the budget."""
-        self.budget = min(self.budget + BUDGET_EARNED, BUDGET_MAX)
+    def record_new_request(self) -> None:
+        """Add a new request's part to the budget."""
+        self.budget = min(self.budget + BUDGET_PER_REQUEST, MAX_BUDGET)
 
-    def refund(self) -> None:
-        """Give a retry back: the bound is on those in vain; one that is served has found room."""
-        self.budget = min(self.budget + 1.0, BUDGET_MAX)
+    def refund_retry(self) -> None:
+        """Return one retry to the budget, because it was served: the budget limits only retries that fail."""
+        self.budget = min(self.budget + 1.0, MAX_BUDGET)
 
-    def spend(self) -> None:
+    def spend_retry(self) -> None:
         """Take one retry from the budget."""
         self.budget -= 1.0
 
     def has_budget(self) -> bool:
-        """Whether one more retry may be spent."""
+        """Return whether the budget holds one more retry."""
         return self.budget >= 1.0
 
     def may_attempt(self, request: OpenRequest) -> bool:
-        """Whether the rules and the bounds leave room for another attempt."""
+        """Return whether the class's rule, the deadline and the limit on attempts permit another attempt."""
         settings = self._context.settings
         now = self._context.now
-        margin = SAFETY_TICKS * settings.tick
+        margin = MARGIN_TICKS * settings.tick
         max_attempts = min(settings.max_attempts or MAX_ATTEMPTS, MAX_ATTEMPTS)
         if request.deadline - now <= margin or request.attempts >= max_attempts:
             return False
         if not self._estimates.can_be_sent_in_time(request):
             return False
         rule = request.rule
-        if request.first_unproven_at is None or rule.effect == "safe":
+        if request.possibly_executed_since is None or rule.effect == "safe":
             return True
-        # A repeat of what may have run: only where, and only while, its backends discard it.
-        within_window = now - request.first_unproven_at < rule.window - margin
+        # A request that may have run is repeated only where all backends discard repeats, and only as long.
+        within_window = now - request.possibly_executed_since < rule.window - margin
         return discards_repeats(rule) and within_window
 
     def may_retry(self, request: OpenRequest, fill_failed: bool) -> bool:
-        """After a failed attempt: whether another is permitted, within the bounds, and worth its while."""
+        """Return whether a failed attempt is followed by another one.
+
+        Another attempt must be permitted and within the budget. None follows a cached-only attempt, a failed
+        fill after the latency objective, or a request that has reached no backend in much of its time.
+        """
         elapsed = self._context.now - request.arrived_at
-        unseen = not request.reached_backend and elapsed > MAX_UNSEEN_FRACTION * request.event.time_left
-        if unseen or request.last_look_made:
+        is_unreached = (
+            not request.has_reached_backend and elapsed > MAX_UNREACHED_FRACTION * request.event.time_left
+        )
+        if is_unreached or request.has_made_last_attempt:
             return False
         if not self.may_attempt(request) or not self.has_budget():
             return False
         return not (fill_failed and elapsed > self._estimates.latency_objective(request))
 
     def is_harmless_to_repeat(self, request: OpenRequest) -> bool:
-        """Whether the client may send it again: it has not run, or running twice does no harm."""
+        """Return whether the client may send the request again: it has not run, or may run twice."""
         rule = request.rule
-        return rule.effect == "safe" or discards_repeats(rule) or request.first_unproven_at is None
+        return rule.effect == "safe" or discards_repeats(rule) or request.possibly_executed_since is None
 
     def retry_after(self) -> float:
-        """Seconds after which a rejected client may return; 0 where the site does not tell clients.
+        """Return the seconds after which a rejected client may return; 0 where the site does not state them.
 
-        After the soonest trial of what is ejected, spread out: told one instant, all clients return at once.
+        The wait ends after the next trial of an ejected backend, and is spread randomly: if all clients were
+        given the same instant, they would all return at once.
         """
         settings = self._context.settings
         if not settings.retry_after:
             return 0.0
         now = self._context.now
         candidates = self._endpoints.caches + self._endpoints.parents
-        waits = [b.ejected_until - now for b in candidates if b.ejected and b.ejected_until > now]
+        waits = [b.ejected_until - now for b in candidates if b.is_ejected and b.ejected_until > now]
         wait = max(min(waits, default=DEFAULT_RETRY_AFTER_S), DEFAULT_RETRY_AFTER_S / 2)
-        wait *= 1.0 + RETURN_SPREAD * self._context.random.random()
+        wait *= 1.0 + RETRY_AFTER_SPREAD * self._context.random.random()
         return min(wait, settings.max_retry_after or DEFAULT_RETRY_AFTER_S)
 
 
 def discards_repeats(rule: i.ClassRule) -> bool:
-    """Whether every backend discards a repeat of a keyed request, within the rule's window."""
+    """Return whether all backends discard repeats of a keyed request within the rule's window."""
     return rule.effect == "keyed" and rule.group == "all"
--- a/beechslip/routing/router.py
+++ b/beechslip/routing/router.py
@@ -1,6 +1,7 @@
-"""The router: events in, actions out; their types are in ``beechslip/routing/interface.py``.
+"""The router, which turns events into actions; their types are in ``beechslip/routing/interface.py``.
 
-It hands each event to the component that decides on it, and returns the actions. Pure: no input or output.
+It passes each event to the component that is responsible for it, and returns the resulting actions. It
+performs no input or output.
 """
 
 from __future__ import annotations
@@ -8,45 +9,45 @@
 from typing import assert_never
 
 from beechslip.routing import interface as i
-from beechslip.routing.admission import Admission
-from beechslip.routing.cancellation import Cancellation
+from beechslip.routing.admission import AdmissionControl
+from beechslip.routing.cancellation import AttemptCancellation
 from beechslip.routing.concurrency import ConcurrencyLimits
-from beechslip.routing.context import Context
-from beechslip.routing.dispatch import Dispatcher
+from beechslip.routing.context import RoutingContext
+from beechslip.routing.dispatch import RequestDispatcher
 from beechslip.routing.endpoints import EndpointTable
-from beechslip.routing.estimates import Estimates
-from beechslip.routing.freshness import Freshness
-from beechslip.routing.health import Health
-from beechslip.routing.outcomes import OutcomeEvidence
+from beechslip.routing.estimates import DurationEstimates
+from beechslip.routing.freshness import FreshnessPolicy
+from beechslip.routing.health import BackendHealth
+from beechslip.routing.outcomes import OutcomeRecorder
 from beechslip.routing.overdue import OverdueMonitor
 from beechslip.routing.requests import RequestTable
 from beechslip.routing.retries import RetryPolicy
-from beechslip.routing.selection import Selector
-from beechslip.routing.slow_start import SlowStart
+from beechslip.routing.selection import RouteSelector
+from beechslip.routing.slow_start import SlowStartPolicy
 from beechslip.routing.state import AttemptKey
-from beechslip.routing.timers import HealthCheckDue, Timers, WatchDue
+from beechslip.routing.timers import HealthCheckDue, TimerTable, WatchDue
 
-WATCH_RETRY_S = 1.0  # s before a refused subscription to the endpoint list is asked for again
+WATCH_RETRY_S = 1.0  # s until a refused subscription to the endpoint list is requested again
 
 
 class Router:
-    """The decisions of one proxy. Each component owns the state of one concern."""
+    """Makes the routing decisions of one proxy. Each of its components owns the state of one concern."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        """A router that knows no backend yet; equal seeds and events give equal actions."""
-        self.context = context = Context(settings, seed)
-        self.timers = Timers(context)
+        """Create a router that knows no backend yet; equal seeds and events give equal actions."""
+        self.context = context = RoutingContext(settings, seed)
+        self.timers = TimerTable(context)
         self.requests = RequestTable()
         self.endpoints = EndpointTable(context)
-        self.estimates = Estimates(context)
-        self.freshness = Freshness(context)
-        self.slow_start = SlowStart(context, self.endpoints, self.estimates)
+        self.estimates = DurationEstimates(context)
+        self.freshness = FreshnessPolicy(context)
+        self.slow_start = SlowStartPolicy(context, self.endpoints, self.estimates)
         self.limits = ConcurrencyLimits(context, self.endpoints, self.estimates)
-        self.admission = Admission(context, self.limits, self.slow_start)
-        self.selector = Selector(context, self.endpoints, self.slow_start, self.admission)
+        self.admission = AdmissionControl(context, self.limits, self.slow_start)
+        self.selector = RouteSelector(context, self.endpoints, self.slow_start, self.admission)
         self.retries = RetryPolicy(context, self.endpoints, self.estimates)
-        self.cancellation = Cancellation(context, self.requests, self.selector, self.retries)
-        self.health = Health(context, self.endpoints, self.timers, self.cancellation)
+        self.cancellation = AttemptCancellation(context, self.requests, self.selector, self.retries)
+        self.health = BackendHealth(context, self.endpoints, self.timers, self.cancellation)
         self.overdue = OverdueMonitor(
             context,
             self.timers,
@@ -60,12 +61,15 @@
         self.dispatcher = self._make_dispatcher()
 
     def start(self, now: float) -> list[i.Action]:
-        """What a fresh instance does at ``now`` (s), before it knows anything."""
+        """Return the first actions of an instance that starts at ``now`` (s)."""
         self.slow_start.observing_since = now
         return [i.Watch()] if self.context.settings.list_on_request else []
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
-        """Take one event at ``now`` (s), in order of arrival; the actions hold at the same time."""
+        """Handle one event that occurs at ``now`` (s) and return the actions to be carried out at once.
+
+        Events must be passed in order of arrival.
+        """
         context = self.context
         context.now = now
         context.actions = []
@@ -96,13 +100,13 @@
             case i.Shutdown():
                 self.dispatcher.on_shutdown()
             case i.PeerMessage():
-                pass  # proxies share nothing yet that a decision needs
+                pass  # no decision depends on messages from other instances yet
             case _:
                 assert_never(event)
         return context.actions
 
-    def _make_dispatcher(self) -> Dispatcher:
-        evidence = OutcomeEvidence(
+    def _make_dispatcher(self) -> RequestDispatcher:
+        outcomes = OutcomeRecorder(
             self.context,
             self.endpoints,
             self.estimates,
@@ -113,7 +117,7 @@
             self.health,
             self.overdue,
         )
-        return Dispatcher(
+        return RequestDispatcher(
             self.context,
             self.endpoints,
             self.requests,
@@ -124,23 +128,26 @@
             self.selector,
             self.retries,
             self.overdue,
-            evidence,
+            outcomes,
         )
 
     def _on_timer(self, token: int) -> None:
         match self.timers.take(token):
             case AttemptKey() as key:
-                self.overdue.check(key)
+                self.overdue.check_overdue(key)
             case HealthCheckDue(backend):
                 self.health.on_health_check_due(backend)
             case WatchDue():
                 self.context.actions.append(i.Watch())
 
     def _on_first_byte(self, event: i.FirstByte) -> None:
-        """A streamed answer has started: its cache runs, and the attempt is never cancelled."""
+        """Record that a streamed answer has started.
+
+        The cache is evidently running, and the attempt is not cancelled from now on.
+        """
         attempt = self.requests.in_flight.get(AttemptKey(event.request, event.attempt))
         if attempt is not None:
-            attempt.streaming = True
+            attempt.is_streaming = True
             self.health.record_answer(attempt.cache)
 
     def _on_endpoint_list(self, event: i.EndpointList) -> None:
--- a/beechslip/routing/selection.py
+++ b/beechslip/routing/selection.py
@@ -1,4 +1,8 @@
-"""Request collapsing: all requests for a copy go to one hashed cache and one parent hashed alike by all."""
+"""Route selection: all requests for a copy are sent to one cache, and its fills come from one parent.
+
+Both are found by rendezvous hashing. Every proxy finds the same parent for an object, so that requests for it
+are collapsed.
+"""
 
 from __future__ import annotations
 
@@ -6,106 +10,133 @@
 from itertools import chain
 from typing import NamedTuple
 
-from beechslip.routing.admission import Admission
-from beechslip.routing.context import Context
+from beechslip.routing.admission import AdmissionControl
+from beechslip.routing.context import RoutingContext
 from beechslip.routing.endpoints import EndpointTable
-from beechslip.routing.slow_start import SlowStart
+from beechslip.routing.slow_start import SlowStartPolicy
 from beechslip.routing.state import Backend, OpenRequest
 
-MAX_CONSIDERED = 32  # caches that a decision looks at
-SAMPLE_SIZE = 16  # caches of a larger station that stand for it
+MAX_CACHES_CONSIDERED = 32  # usable caches that one decision considers at most
+CACHE_SAMPLE_SIZE = 16  # caches that represent a zone with more than that
 
 
 class Route(NamedTuple):
-    """Where an attempt goes; no cache: nowhere, no source: only a look at what the cache holds."""
+    """The backends of an attempt.
+
+    Without a cache there is nowhere to send it. Without a source it is a cached-only attempt, which only a
+    copy that the cache holds can answer.
+    """
 
     cache: Backend | None
     source: Backend | None
 
 
-class Selector:
-    """Chooses the cache and the source of an attempt; it holds no state of its own."""
+class RouteSelector:
+    """Chooses the cache and the source of an attempt. It has no state of its own."""
 
     def __init__(
-        self, context: Context, endpoints: EndpointTable, slow_start: SlowStart, admission: Admission
+        self,
+        context: RoutingContext,
+        endpoints: EndpointTable,
+        slow_start: SlowStartPolicy,
+        admission: AdmissionControl,
     ) -> None:
-        """A selector over the listed backends, within their allowances and limits."""
+        """Create a selector over the listed backends, bound by their slow-start allowances and limits."""
         self._context = context
         self._endpoints = endpoints
         self._slow_start = slow_start
         self._admission = admission
 
     def choose_route(self, request: OpenRequest) -> Route:
-        """The cache and the source of the next attempt, straight to a parent where no cache is left."""
-        request.shed = False
+        """Choose the cache and the source of the next attempt.
+
+        Where the zone has no cache left, the attempt goes directly to a parent, if the site permits that.
+        """
+        request.is_shed = False
         cache = self.choose_cache(request)
         source = self.choose_source(request)
         if cache is not None or source is None or not self._context.settings.direct:
             return Route(cache, source)
-        if not self._is_zone_closed(request):
+        if not self._is_zone_unavailable(request):
             return Route(None, source)
-        # No cache is listed: straight to the parent, where the site permits it and the parent has room.
-        request.shed = not (request.rule.write or self._admission.admits(request, [source]))
+        # No cache is available: send directly to the parent, provided that it has room.
+        request.is_shed = not (request.rule.write or self._admission.admits(request, [source]))
         origin = self._endpoints.origin
-        direct = None if request.shed else source
+        direct = None if request.is_shed else source
         ready = origin is not None and origin.entry.state == "ready"
-        if source is not origin and origin and ready and self._slow_start.allows(origin, request):
+        if source is not origin and origin and ready and self._slow_start.allows_attempt(origin, request):
             source = origin
         return Route(direct, source)
 
     def choose_cache(self, request: OpenRequest) -> Backend | None:
-        """The first usable cache in rank that is not full; ``None`` where load is to be shed."""
-        first = None
+        """Return the first usable cache in rank that is not full, or else the first usable one.
+
+        Returns ``None`` if the request is rejected for load or no cache is available.
+        """
+        first_usable = None
         considered = 0
         for backend in self._endpoints.ranked_caches(request):
             if not self._is_usable(backend, request):
                 continue
-            first = first or backend
+            first_usable = first_usable or backend
             considered += 1
-            # A full cache passes the object on: one hot object can outgrow a cache's link.
-            if self._admission.fullness([backend]) < 1.0:
-                return self._admitted(request, backend)
-            if considered >= MAX_CONSIDERED:
+            # The next cache takes over from a full one: one hot object can exceed the capacity of a link.
+            if self._admission.utilization([backend]) < 1.0:
+                return self._cache_if_admitted(request, backend)
+            if considered >= MAX_CACHES_CONSIDERED:
                 break
-        if first is not None:
-            return self._admitted(request, first)
-        return self._choose_suspect_cache(request)
+        if first_usable is not None:
+            return self._cache_if_admitted(request, first_usable)
+        return self._choose_fallback_cache(request)
 
     def choose_source(self, request: OpenRequest) -> Backend | None:
-        """The parent on the hash, the next one, or the origin; a class that is never cached: the origin."""
+        """Return the first usable source: the hashed parent, the next one, or at last the origin.
+
+        For a class that is never cached the origin comes first.
+        """
         origin = self._endpoints.origin
         ready_origin = [origin] if origin and origin.entry.state == "ready" else []
-        first = None
+        first_usable = None
         for backend in self._ranked_sources(request, ready_origin):
             if not self._is_usable(backend, request):
                 continue
-            first = first or backend
-            # An object's fills can outgrow one parent's link; what outgrows all must not crowd the origin.
+            first_usable = first_usable or backend
+            # The fills of an object can exceed one parent's link. Those that exceed the limits of all parents
+            # must not overload the origin.
             below_limit = backend.in_flight < backend.concurrency_limit
-            if below_limit and (backend is not origin or backend is first):
+            if below_limit and (backend is not origin or backend is first_usable):
                 return backend
-        if first is not None:
-            return first
+        if first_usable is not None:
+            return first_usable
         ready = (b for b in self._ranked_sources(request, ready_origin) if b.entry.state == "ready")
-        return next((b for b in ready if self._slow_start.allows(b, request)), None)
+        return next((b for b in ready if self._slow_start.allows_attempt(b, request)), None)
 
-    def _choose_suspect_cache(self, request: OpenRequest) -> Backend | None:
-        """When every cache looks bad the judgement says little: keep to the hash, within allowances."""
-        if self._context.settings.direct and self._is_zone_closed(request):
-            return None
-        usable = [b for b in self._endpoints.ranked_caches(request) if self._slow_start.allows(b, request)]
-        return min(usable, key=lambda b: (self._is_gone(b), b in request.avoided), default=None)
-
-    def _admitted(self, request: OpenRequest, cache: Backend) -> Backend | None:
-        request.shed = not self._admission.admits(request, self._sample(request, cache))
-        return None if request.shed else cache
+    def _choose_fallback_cache(self, request: OpenRequest) -> Backend | None:
+        """Choose a cache although none is usable.
 
-    def _sample(self, request: OpenRequest, cache: Backend) -> list[Backend]:
-        """Caches that fit a request: all of a small station, a part of a large one that differs by copy."""
+        When every cache appears faulty, their health states say little, so the choice follows the hash order
+        within the slow-start allowances.
+        """
+        if self._context.settings.direct and self._is_zone_unavailable(request):
+            return None
+        usable = [
+            b for b in self._endpoints.ranked_caches(request) if self._slow_start.allows_attempt(b, request)
+        ]
+        return min(
+            usable, key=lambda b: (self._is_known_down(b), b in request.avoided_backends), default=None
+        )
+
+    def _cache_if_admitted(self, request: OpenRequest, cache: Backend) -> Backend | None:
+        """Return ``cache`` if the request is admitted; else mark the request as shed."""
+        request.is_shed = not self._admission.admits(request, self._sample_caches(request, cache))
+        return None if request.is_shed else cache
+
+    def _sample_caches(self, request: OpenRequest, cache: Backend) -> list[Backend]:
+        """Return the zone's usable caches; in a large zone, those of a sample that depends on the copy."""
         caches = self._endpoints.caches
-        if len(caches) > MAX_CONSIDERED:
-            start = request.key % len(caches)
-            caches = [caches[(start + n) % len(caches)] for n in range(SAMPLE_SIZE)]
+        if len(caches) > MAX_CACHES_CONSIDERED:
+            start = request.copy_key % len(caches)
+            caches = [caches[(start + n) % len(caches)] for n in range(CACHE_SAMPLE_SIZE)]
         return [backend for backend in caches if self._is_usable(backend, request)] or [cache]
 
     def _ranked_sources(self, request: OpenRequest, origin: list[Backend]) -> Iterator[Backend]:
@@ -113,29 +144,37 @@
         return chain(origin, parents) if request.rule.write else chain(parents, origin)
 
     def _is_usable(self, backend: Backend, request: OpenRequest) -> bool:
-        """Ready, in good standing (or due for its trial), and within its slow-start allowance."""
-        if backend.entry.state != "ready" or backend in request.avoided:
+        """Return whether a backend is ready, in service or due for a trial, and within its allowance.
+
+        Backends that have already failed this request are excluded.
+        """
+        if backend.entry.state != "ready" or backend in request.avoided_backends:
             return False
-        if backend.ejected:
-            due = (
+        if backend.is_ejected:
+            is_trial_due = (
                 self._context.now >= backend.ejected_until
-                and not backend.trial_in_flight
-                and (backend.health_check_passed or not self._context.settings.can_health_check)
+                and not backend.has_trial_in_flight
+                and (backend.has_passed_health_check or not self._context.settings.can_health_check)
             )
-            if not due or request.rule.effect != "safe":
+            if not is_trial_due or request.rule.effect != "safe":
                 return False
-        return self._slow_start.allows(backend, request)
+        return self._slow_start.allows_attempt(backend, request)
 
-    def _is_zone_closed(self, request: OpenRequest) -> bool:
-        """Whether the zone has no cache for it: each is gone, warming up and full, or left by the fleet.
+    def _is_zone_unavailable(self, request: OpenRequest) -> bool:
+        """Return whether the zone has no cache for the request.
 
-        Guards against a lost station that asks dead caches until the list tells of it, and against one that
-        comes back and rejects, for as long as it warms up, what the parents had served while it was away.
-        Harm: parents carry what their limits allow, at the cost of fills for others.
+        That is so if each cache is known to be down, has used up its slow-start allowance or its quota, or
+        is excluded by the fleet's region shares. Without this check a zone that has lost its caches would
+        send to them until the endpoint list reports the loss; and a zone whose caches come back would reject,
+        for as long as they warm up, what the parents served in the meantime. The cost is that parents carry
+        as much as their limits allow, at the expense of fills for others.
         """
-        allows = self._slow_start.allows
-        return all(self._is_gone(b) or not allows(b, request) for b in self._endpoints.caches)
+        allows_attempt = self._slow_start.allows_attempt
+        return all(self._is_known_down(b) or not allows_attempt(b, request) for b in self._endpoints.caches)
 
-    def _is_gone(self, backend: Backend) -> bool:
-        """Ejected for refused connections or for errors of its own: no need to wait for the list."""
-        return backend.ejected and (backend.connection_lost or backend.is_error_outlier)
+    def _is_known_down(self, backend: Backend) -> bool:
+        """Return whether a backend is ejected for refused connections or for errors of its own.
+
+        There is no need to wait for the endpoint list to report it as gone.
+        """
+        return backend.is_ejected and (backend.has_lost_connection or backend.is_error_outlier)
--- a/beechslip/routing/state.py
+++ b/beechslip/routing/state.py
@@ -1,4 +1,4 @@
-"""Records of one proxy: backends, open requests, attempts in flight."""
+"""Records kept by one proxy: backends, open requests and attempts in flight."""
 
 from __future__ import annotations
 
@@ -9,57 +9,58 @@
 
 from beechslip.routing import interface as i
 from beechslip.routing.placement import stable_hash
-from beechslip.routing.tallies import Lateness, Tally
+from beechslip.routing.tallies import DecayingSum, LatenessStats
 
 
 class AttemptKey(NamedTuple):
-    """Names one attempt: the request's identifier and the attempt's number, from 0."""
+    """Identifies an attempt by its request's identifier and its number, which starts at 0."""
 
     request_id: str
     number: int
 
 
 class Backend:
-    """What this proxy knows of one backend: its entry, its load from here, its health. Times in s."""
+    """What this proxy knows of one backend: its list entry, its load and its health. Times are in seconds."""
 
     def __init__(self, entry: i.Endpoint, now: float) -> None:
-        """A backend first listed at ``now``, in good standing."""
+        """Create the record of a backend that is first listed at ``now``, with no fault known."""
         self.name = entry.backend
         self.salt = stable_hash(entry.backend)
         self.entry = entry
         self.started_at = entry.started
         self.in_service_since = now
-        # Load. A concurrency limit counts attempts; infinity until late answers teach one.
+        # Load. The concurrency limit is a number of attempts; it is infinite until late answers set one.
         self.in_flight = 0
         self.concurrency_limit = math.inf
-        self.lateness = Lateness()
-        self.reported_load = 0.0  # requests of its last report over those that its link carries
+        self.lateness = LatenessStats()
+        self.reported_load = 0.0  # requests in its last load report, as a multiple of what its link carries
         self.reported_at = 0.0
-        self.pace = 1.0  # time of its recent hits over their transfer time
-        self.link_capacity = 0.0  # transfers at full pace that its link is seen to carry; 0: unknown
-        self.unanswered = Lateness()  # overdue answers: late are those that never came
-        self.successes = Tally()
-        # Slow start: (time, transfer seconds) sent within the window, and the window's draw.
-        self.window: deque[tuple[float, float]] = deque()
-        self.window_work = 0.0
-        self.window_drawn_at = -math.inf
-        self.window_draw = 1.0
+        self.hit_time_ratio = 1.0  # duration of its recent hits, as a multiple of their transfer time
+        self.link_capacity = 0.0  # learned: transfers at full speed that its link carries; 0: unknown
+        self.lost_answers = LatenessStats()  # of overdue answers; "late" counts those that never came
+        self.successes = DecayingSum()
+        # Slow start: the (time, transfer seconds) of what was sent within the window, their sum, and the
+        # random number that was drawn for the window.
+        self.slow_start_window: deque[tuple[float, float]] = deque()
+        self.slow_start_window_work = 0.0
+        self.slow_start_drawn_at = -math.inf
+        self.slow_start_draw = 1.0
         self.reset_health()
 
     def reset_health(self) -> None:
-        """Forget all faults: at the start, and when the list tells of a restart."""
+        """Forget all faults. Called at the start and after each restart that the endpoint list reports."""
         self.consecutive_connection_failures = 0
         self.consecutive_overdue = 0
         self.trials_required = 0
         self.last_heard_at = -math.inf
-        self.ejected = False
+        self.is_ejected = False
         self.ejected_until = 0.0
-        self.backoff = 0.0  # s, of the last ejection
-        self.health_check_passed = False
-        self.trial_in_flight = False
-        self.connection_lost = False
-        self.is_error_outlier = False  # it gave errors where the others did not
-        self.failures = Tally()
+        self.ejection_duration = 0.0  # s, duration of the last ejection
+        self.has_passed_health_check = False
+        self.has_trial_in_flight = False
+        self.has_lost_connection = False
+        self.is_error_outlier = False  # it returned errors where its peers did not
+        self.failures = DecayingSum()
 
 
 class AttemptInFlight:
@@ -67,37 +68,41 @@
 
     __slots__ = (
         "cache",
-        "cancelling",
-        "counted_late",
+        "is_cancelling",
+        "is_counted_late",
+        "is_streaming",
         "number",
         "overdue_checks",
-        "resends_lost_answer",
+        "retries_lost_answer",
         "sent_at",
         "source",
-        "streaming",
         "transfer_time",
-        "trial",
+        "trial_backend",
     )
 
     def __init__(
         self, number: int, sent_at: float, cache: Backend, source: Backend | None, transfer_time: float
     ) -> None:
-        """An attempt at ``cache``, filled from ``source`` (``None``: a look); times in s."""
+        """Create an attempt at ``cache``; times are in seconds.
+
+        A miss is filled from ``source``. With no source the attempt is cached-only: only a copy that the
+        cache already holds can answer it.
+        """
         self.number = number
         self.sent_at = sent_at
         self.cache = cache
         self.source = source
         self.transfer_time = transfer_time
-        self.streaming = False
-        self.cancelling = False
-        self.resends_lost_answer = False
-        self.counted_late = False  # as a fill
-        self.trial: Backend | None = None  # the ejected backend that this attempt tries
+        self.is_streaming = False
+        self.is_cancelling = False
+        self.retries_lost_answer = False  # repeats an attempt whose answer is presumed lost
+        self.is_counted_late = False  # already counted as a late fill
+        self.trial_backend: Backend | None = None  # the ejected backend for which this attempt is the trial
         self.overdue_checks = 0
 
 
 class SizeBand(Enum):
-    """Bands of a class by size, the largest requests first."""
+    """The bands by size into which the requests of a class are divided, the largest requests first."""
 
     LARGEST = 0
     NEXT_LARGEST = 1
@@ -105,47 +110,51 @@
 
 
 class OpenRequest:
-    """A request that awaits its final answer."""
+    """A request that has not had its final answer."""
 
     __slots__ = (
-        "admitted",
         "arrived_at",
         "attempts",
-        "avoided",
+        "avoided_backends",
         "band",
+        "copy_key",
         "deadline",
         "event",
-        "fill_accepted",
-        "first_unproven_at",
-        "key",
-        "last_look_made",
-        "reached_backend",
+        "has_made_last_attempt",
+        "has_reached_backend",
+        "is_admitted",
+        "is_answer_lost",
+        "is_fill_accepted",
+        "is_shed",
+        "possibly_executed_since",
         "request_id",
-        "resend_lost_answer",
         "rule",
-        "shed",
         "source_key",
         "transfer_time",
     )
 
     def __init__(self, event: i.Request, rule: i.ClassRule, now: float, transfer_time: float) -> None:
-        """A request that arrives at ``now`` and is expected to take ``transfer_time`` s to send."""
+        """Create the record of a request that arrives at ``now``; sending takes ``transfer_time`` s."""
         self.event = event
         self.request_id = event.request
         self.rule = rule
         self.arrived_at = now
         self.transfer_time = transfer_time
         name = event.object or event.request
-        self.key = stable_hash(f"{name}\n{event.part}")  # a copy is of one part: parts spread out
-        self.source_key = stable_hash(name)  # an object's fills meet at one parent
+        self.copy_key = stable_hash(
+            f"{name}\n{event.part}"
+        )  # each part is a copy of its own, so parts are spread
+        self.source_key = stable_hash(name)  # one parent supplies all fills of an object
         self.deadline = now + event.time_left
         self.attempts = 0
-        self.avoided: list[Backend] = []  # caches and sources that failed this request
-        self.first_unproven_at: float | None = None  # send time of the first attempt that may have run
-        self.last_look_made = False  # a look without a fill was sent, after which there is no other attempt
-        self.resend_lost_answer = False  # the next attempt may go to the same cache
-        self.reached_backend = False
-        self.shed = False  # the last choice of a route rejected it for load
+        self.avoided_backends: list[Backend] = []  # caches and sources at which it has failed
+        self.possibly_executed_since: float | None = None  # send time of the first attempt that may have run
+        self.has_made_last_attempt = False  # a cached-only attempt was sent; no other may follow
+        self.is_answer_lost = False  # presumed: the next attempt may go to the same cache
+        self.has_reached_backend = False
+        self.is_shed = False  # rejected for load when a route was last chosen
         self.band = SizeBand.REST
-        self.admitted: bool | None = None  # whatever its density; None: not decided yet
-        self.fill_accepted: bool | None = None  # the same of a fill
+        self.is_admitted: bool | None = (
+            None  # first decision, which later attempts keep if True; None: none yet
+        )
+        self.is_fill_accepted: bool | None = None  # the same for its fill
--- a/beechslip/routing/tallies.py
+++ b/beechslip/routing/tallies.py
@@ -1,48 +1,48 @@
-"""Sums that decay, and what is learned from them: lateness, and the fraction of requests that may fill."""
+"""Decaying sums, and what is computed from them: late fractions, and which fraction of requests may fill."""
 
 from __future__ import annotations
 
 import math
 
-MEMORY_S = 4.0  # s: tens of attempts at a quiet cache, short against a fault of 5 to 30 s
-FILL_GROWTH_PER_S = 2.0  # of the tolerated late fraction: won by a second of timely fills
-MIN_FILL_FRACTION = 0.03  # of requests, always allowed to fill, or a recovery could not be seen
+DECAY_TIME_S = 4.0  # s; spans tens of attempts at a quiet cache, and is short against a fault of 5 to 30 s
+FILL_GROWTH_PER_S = 2.0  # times the tolerated late fraction, gained by a second of timely fills
+MIN_FILL_FRACTION = 0.03  # of requests, which may always fill; without any a recovery would go unnoticed
 
 
-class Tally:
-    """A sum that decays exponentially over a span of seconds."""
+class DecayingSum:
+    """A sum that decays exponentially with a time constant in seconds."""
 
-    def __init__(self, span: float = MEMORY_S) -> None:
-        """Start at 0; what was added ``span`` seconds ago counts 1/e."""
+    def __init__(self, time_constant: float = DECAY_TIME_S) -> None:
+        """Start at 0; an amount that was added ``time_constant`` seconds ago counts 1/e."""
         self.total = 0.0
         self.updated_at = 0.0
-        self.span = span
+        self.time_constant = time_constant
 
-    def read(self, now: float) -> float:
-        """The sum as decayed until ``now``."""
-        return self.total * math.exp((self.updated_at - now) / self.span)
+    def value_at(self, now: float) -> float:
+        """Return the sum, decayed until ``now``."""
+        return self.total * math.exp((self.updated_at - now) / self.time_constant)
 
     def add(self, now: float, amount: float) -> float:
-        """Add an amount; returns the new sum."""
-        self.total = self.read(now) + amount
+        """Add an amount at ``now`` and return the new sum."""
+        self.total = self.value_at(now) + amount
         self.updated_at = now
         return self.total
 
 
-class Lateness:
-    """Recent timely and late answers, and when they last called for a cut."""
+class LatenessStats:
+    """Decaying counts of timely and late answers, and the time of the last cut that they caused."""
 
     def __init__(self) -> None:
-        """Start with no answer."""
-        self.late = Tally()
-        self.timely = Tally()
+        """Start with no answers."""
+        self.late = DecayingSum()
+        self.timely = DecayingSum()
         self.cut_at = -math.inf
 
     def record(self, now: float, late: bool, tolerated: float, sent_at: float, weight: float = 1.0) -> bool:
-        """Count an answer by its weight; True calls for a cut.
+        """Count an answer by its weight; return True if a limit is to be cut.
 
-        That is when more than the ``tolerated`` fraction is late and this late one was sent after the last
-        cut: answers that were in flight then tell nothing of its effect.
+        That is so when more than the ``tolerated`` fraction is late and this late answer belongs to an
+        attempt sent after the last cut: attempts that were in flight at the cut do not show its effect.
         """
         if not late:
             self.timely.add(now, weight)
@@ -54,27 +54,31 @@
         return True
 
     def exceeds(self, now: float, tolerated: float, assumed_timely: float) -> bool:
-        """Whether more than a fraction are late, with so many timely ones assumed besides."""
-        late = self.late.read(now)
-        return late > tolerated * (late + self.timely.read(now) + assumed_timely)
+        """Return whether the late fraction exceeds ``tolerated``.
+
+        ``assumed_timely`` is a number of timely answers that are assumed in addition to those recorded.
+        """
+        late = self.late.value_at(now)
+        return late > tolerated * (late + self.timely.value_at(now) + assumed_timely)
 
 
 class FillThrottle:
-    """Fraction of requests, by rank, that may fill, as learned from how fills come."""
+    """The fraction of requests, ranked by density, that may fill; adjusted by how many fills are late."""
 
     def __init__(self, cut_factor: float) -> None:
-        """Start with all; each cut multiplies the fraction by ``cut_factor``."""
+        """Start at 1; each cut multiplies the fraction by ``cut_factor``."""
         self.fraction = 1.0
-        self.lateness = Lateness()
+        self.lateness = LatenessStats()
         self._updated_at = 0.0
         self._cut_factor = cut_factor
 
     def record(self, now: float, late: bool, tolerated: float, sent_at: float, weight: float = 1.0) -> None:
-        """Count a fill that was sent at ``sent_at``; too many late ones cut, timely ones restore by time."""
+        """Count a fill sent at ``sent_at``: too many late ones cut the fraction, timely ones raise it."""
         if self.lateness.record(now, late, tolerated, sent_at, weight):
             self.fraction = max(self.fraction * self._cut_factor, MIN_FILL_FRACTION)
         elif not late:
-            # By time, not by fill: a proxy of a large fleet sees few, and would recover for minutes.
+            # The growth depends on time, not on the number of fills: a proxy of a large fleet sees few fills,
+            # and its recovery would take minutes.
             elapsed = min(now - self._updated_at, 1.0)
             growth = FILL_GROWTH_PER_S * tolerated * elapsed * min(weight, 1.0)
             self.fraction = min(self.fraction + growth, 1.0)
--- a/beechslip/routing/wire/__init__.py
+++ b/beechslip/routing/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The simulator's wire "shale-2b2b": JSON messages read into events and settings, actions written to it.
+"""The simulator's wire format "shale-2b2b": reads JSON messages as events and settings, and writes actions.
 
-Source: the page WIRE of the project's documents. Nothing is decided here.
+Source: the page WIRE of the project's documents. This package makes no routing decisions.
 """
--- a/beechslip/routing/wire/actions.py
+++ b/beechslip/routing/wire/actions.py
@@ -1,4 +1,4 @@
-"""Actions, to the wire's messages."""
+"""Conversion of actions to wire messages."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from beechslip.routing.wire.fields import Message
 
 # Bits of the member "mode".
-JOIN = 1
-CACHED_ONLY = 2
-RENEW = 8
+MODE_JOIN = 1
+MODE_CACHED_ONLY = 2
+MODE_RENEW = 8
 
 
 def write_action(proxy: int, action: i.Action) -> Message:
-    """The message for one action of the instance ``proxy``; a limit of 0 is written as null."""
+    """Return the message for an action of the instance ``proxy``; a limit of 0 is written as null."""
     event_type, members = _write(action)
     return {"event_type": event_type, "proxy": proxy, **members}
 
@@ -42,7 +42,7 @@
 
 
 def _write_attempt(action: i.Attempt) -> Message:
-    mode = JOIN * action.join + CACHED_ONLY * action.cached_only + RENEW * action.renew
+    mode = MODE_JOIN * action.join + MODE_CACHED_ONLY * action.cached_only + MODE_RENEW * action.renew
     return {
         "txn": action.request,
         "store": action.backend,
--- a/beechslip/routing/wire/fields.py
+++ b/beechslip/routing/wire/fields.py
@@ -1,4 +1,4 @@
-"""Members of wire messages: required ones of a kind, optional ones that fall back to "not stated"."""
+"""Access to the members of wire messages: required ones, and optional ones that default to "not stated"."""
 
 from __future__ import annotations
 
@@ -8,56 +8,56 @@
 
 
 class WireError(Exception):
-    """Input that does not follow the wire's description; the text names the message and the member."""
+    """Input that does not conform to the wire format; the text names the message and the member."""
 
 
-def required(message: Message, name: str, kinds: type | tuple[type, ...]) -> Any:
-    """A member that must be there, of one of the given kinds; a boolean is no number.
+def required_member(message: Message, name: str, kinds: type | tuple[type, ...]) -> Any:
+    """Return a member that must be present and of one of the given types; a boolean is not a number.
 
     Raises:
-        WireError: the member is missing, null, or of another kind.
+        WireError: the member is missing, null or of another type.
     """
-    what = message.get("event_type", "entry")
+    message_name = message.get("event_type", "entry")
     if message.get(name) is None:
-        raise WireError(f"{what}: member '{name}' is missing")
+        raise WireError(f"{message_name}: member '{name}' is missing")
     value = message[name]
     if not isinstance(value, kinds) or (isinstance(value, bool) and kinds is not bool):
-        raise WireError(f"{what}: member '{name}' has an unusable value: {value!r:.80}")
+        raise WireError(f"{message_name}: member '{name}' has a value of the wrong type: {value!r:.80}")
     return value
 
 
-def number(source: Message, name: str) -> float:
-    """An optional number; absent or of another kind is 0, the wire's own "not stated"."""
+def optional_number(source: Message, name: str) -> float:
+    """Return an optional number; 0, which means "not stated", if it is absent or of another type."""
     return _as_number(source.get(name))
 
 
-def text(source: Message, name: str) -> str:
-    """An optional string; absent or of another kind is empty."""
+def optional_text(source: Message, name: str) -> str:
+    """Return an optional string; empty if it is absent or of another type."""
     value = source.get(name)
     return value if isinstance(value, str) else ""
 
 
-def mapping(source: Message, name: str) -> Message:
-    """An optional object; absent or of another kind is empty."""
+def optional_object(source: Message, name: str) -> Message:
+    """Return an optional object; empty if it is absent or of another type."""
     value = source.get(name)
     return value if isinstance(value, dict) else {}
 
 
-def sequence(source: Message, name: str) -> list[Any]:
-    """An optional array; absent or of another kind is empty."""
+def optional_array(source: Message, name: str) -> list[Any]:
+    """Return an optional array; empty if it is absent or of another type."""
     value = source.get(name)
     return value if isinstance(value, list) else []
 
 
-def item(items: list[Any], position: float) -> Any:
-    """The item at a position, or ``None`` outside the array (also for negative positions)."""
+def item_at(items: list[Any], position: float) -> Any:
+    """Return the item at a position, or ``None`` outside the array, also for negative positions."""
     index = int(position)
     return items[index] if 0 <= index < len(items) else None
 
 
-def item_number(items: list[Any], position: int) -> float:
-    """The number at a position; 0 outside the array or for another kind."""
-    return _as_number(item(items, position))
+def number_at(items: list[Any], position: int) -> float:
+    """Return the number at a position; 0 outside the array or for another type."""
+    return _as_number(item_at(items, position))
 
 
 def _as_number(value: Any) -> float:
--- a/lab/routing_faults.py
+++ b/lab/routing_faults.py
@@ -17,7 +17,7 @@
 
     def ranked_parents(self: EndpointTable, request: OpenRequest) -> Iterator[Backend]:
         salt = self.__dict__.setdefault("own_salt", secrets.randbits(SALT_BITS))
-        places = self.parent_order.best_first(request.source_key ^ salt)
+        places = self.parent_order.ranked_positions(request.source_key ^ salt)
         return (self.parents[place] for place in places)
 
     return [Patch(EndpointTable, "ranked_parents", ranked_parents)]
--- a/lab/stand.py
+++ b/lab/stand.py
@@ -225,11 +225,11 @@
 
     def home(self, name: str = "7f3a") -> tuple[StandBackend, ...]:
         """The backends in the module's own order for an object, which comes from hashes alone."""
-        from beechslip.routing.placement import mix, stable_hash
+        from beechslip.routing.placement import hash_to_unit, stable_hash
 
         key = stable_hash(f"{name}\n0")
         boxes = [d for d in self.backends if d.kind == "std-box"]
-        return tuple(sorted(boxes, key=lambda d: mix(key, stable_hash(d.name)), reverse=True))
+        return tuple(sorted(boxes, key=lambda d: hash_to_unit(key, stable_hash(d.name)), reverse=True))
 
     def ask(self, **how: Any) -> asyncio.Task[Answer]:
         """Begin a request; see :func:`fetch` for its arguments."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -171,7 +171,7 @@
             stage.now += 0.02
             stage.end(key, *(("error",) if fails else ("ok", "hit" if n % 3 else "filled")))
         for p in PARENTS:
-            if stage.router.endpoints.backends[p].ejected:
+            if stage.router.endpoints.backends[p].is_ejected:
                 out.setdefault(p, spoilt[p])
     return out
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -7,7 +7,7 @@
 import pytest
 
 from beechslip.routing import interface as i
-from beechslip.routing.size_fairness import GUARANTEED, MAX_CREDIT
+from beechslip.routing.size_fairness import GUARANTEED_FRACTION, MAX_CREDIT
 from tests.helpers import PARENTS, SETTINGS, Stage, attempts, entries, finals, home_of
 
 
@@ -86,7 +86,11 @@
         asked += attempts(stage.ask(f"/y{n}", size=9000.0 if is_large else 4.0))
     looks = [a for a in large if a.source == a.backend]
     assert len(large) == 40 and all(a.source in PARENTS for a in small)
-    assert (1.0 - GUARANTEED) * len(large) <= len(looks) <= (1.0 - GUARANTEED) * len(large) + MAX_CREDIT
+    assert (
+        (1.0 - GUARANTEED_FRACTION) * len(large)
+        <= len(looks)
+        <= (1.0 - GUARANTEED_FRACTION) * len(large) + MAX_CREDIT
+    )
     assert [type(a) for a in finals(stage.end((looks[-1].request, 0), "miss"))] == [i.Refuse]
 
 
--- a/tests/routing/test_concurrency.py
+++ b/tests/routing/test_concurrency.py
@@ -22,7 +22,7 @@
         stage.end((f"h{n}", 0), "timeout")
     backend = stage.router.endpoints.backends[home]
     assert (
-        not backend.ejected
+        not backend.is_ejected
         and backend.concurrency_limit == math.inf
         and stage.router.limits.parent_fills.fraction == 1.0
     )
--- a/tests/routing/test_endpoints.py
+++ b/tests/routing/test_endpoints.py
@@ -39,7 +39,7 @@
     stage.ask("/a")
     stage.end(("r2", 0), "reset")
     stage.give(i.EndpointList("changes", entries(**{home.split(":")[0]: {"started": stage.now}})))
-    assert not stage.router.endpoints.backends[home].ejected
+    assert not stage.router.endpoints.backends[home].is_ejected
 
 
 def test_an_empty_list_mid_run_answers_at_once_and_the_next_list_serves_again() -> None:
--- a/tests/routing/test_freshness.py
+++ b/tests/routing/test_freshness.py
@@ -19,7 +19,9 @@
         stage.now += 1.1
     stage.now += 3.0
     assert attempts(stage.ask("/a"))[0].max_age == 0.0
-    assert not stage.router.freshness.purges.objects and not stage.router.freshness.purges.groups
+    assert (
+        not stage.router.freshness.purges.object_purge_times and not stage.router.freshness.purges.group_purge_times
+    )
 
 
 def test_an_age_limit_is_never_rounded_to_no_limit() -> None:
@@ -40,7 +42,7 @@
     stage = Stage()
     for n in range(50):
         stage.give(i.Purge(f"/p{n}", n, 0.1))
-    assert len(stage.router.freshness.purges.objects) <= 10
+    assert len(stage.router.freshness.purges.object_purge_times) <= 10
     assert 0.0 < attempts(stage.ask("/p0", group=99))[0].max_age <= 0.2
 
 
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -35,7 +35,7 @@
     assert trial.backend == home
     assert home_of(stage, "/a") != home  # one trial at a time
     stage.end(("trial", 0), "ok", "hit")
-    assert not stage.router.endpoints.backends[home].ejected
+    assert not stage.router.endpoints.backends[home].is_ejected
 
 
 def test_a_failed_health_check_lengthens_the_backoff() -> None:
@@ -44,10 +44,10 @@
     stage.end(("r1", 0), "connect_failed")
     stage.ask("/a")
     stage.end(("r2", 0), "reset")
-    first = stage.router.endpoints.backends[home].backoff
+    first = stage.router.endpoints.backends[home].ejection_duration
     stage.wait(1.0)
     stage.give(i.HealthCheckResult(home, "timeout"))
-    assert stage.router.endpoints.backends[home].backoff == 2 * first
+    assert stage.router.endpoints.backends[home].ejection_duration == 2 * first
 
 
 @pytest.mark.parametrize("health_checks", [True, False])
@@ -59,10 +59,10 @@
     acts = stage.wait(0.5)
     if health_checks:
         assert [a.backend for a in acts if isinstance(a, i.HealthCheck)] == [home]
-        assert not stage.router.endpoints.backends[home].ejected  # one met seldom looks so when its source is slow
+        assert not stage.router.endpoints.backends[home].is_ejected  # one met seldom looks so when its source is slow
         acts += stage.give(i.HealthCheckResult(home, "timeout"))
     cancels = [a for a in acts if isinstance(a, i.Cancel)]
-    assert len(cancels) == 5 and stage.router.endpoints.backends[home].ejected
+    assert len(cancels) == 5 and stage.router.endpoints.backends[home].is_ejected
     assert attempts(stage.end(("r1", 0), "cancelled"))[0].backend != home
 
 
@@ -71,11 +71,11 @@
     stage = Stage()
     home = home_of(stage, "/a")
     for _ in range(2, 10):
-        assert not stage.router.endpoints.backends[home].ejected
+        assert not stage.router.endpoints.backends[home].is_ejected
         stage.ask("/a")
         for health_check in [a for a in stage.wait(1.0) if isinstance(a, i.HealthCheck)]:
             stage.give(i.HealthCheckResult(health_check.backend, "ok"))
-    assert stage.router.endpoints.backends[home].ejected  # it hangs, whatever its health checks say
+    assert stage.router.endpoints.backends[home].is_ejected  # it hangs, whatever its health checks say
 
 
 def test_failures_of_one_parent_through_several_caches_are_the_parents() -> None:
@@ -84,8 +84,8 @@
         issued = attempts(stage.ask(f"/x{n}", name=f"n{n}"))[0]
         for key in list(stage.in_flight):
             stage.end(key, "miss" if issued.source == "p0:80" and key[1] == 0 and n % 3 == 0 else "ok")
-    assert stage.router.endpoints.backends["p0:80"].ejected
-    assert not any(stage.router.endpoints.backends[c].ejected for c in (*CACHES, "p1:80"))
+    assert stage.router.endpoints.backends["p0:80"].is_ejected
+    assert not any(stage.router.endpoints.backends[c].is_ejected for c in (*CACHES, "p1:80"))
 
 
 def test_when_all_parents_fail_alike_none_is_ejected() -> None:
@@ -94,7 +94,7 @@
         stage.ask(f"/x{n}", name=f"n{n}")
         for key in list(stage.in_flight):
             stage.end(key, "miss", "source_lost")
-    assert not any(stage.router.endpoints.backends[p].ejected for p in PARENTS)
+    assert not any(stage.router.endpoints.backends[p].is_ejected for p in PARENTS)
 
 
 def test_an_outlying_parent_is_found_by_its_fills_however_many_hits_name_it_as_source() -> None:
@@ -130,31 +130,31 @@
     away.successes.add(router.context.now, 10.0)
     there.failures.add(router.context.now, 8.0)
     router.health.record_failure(there)
-    assert there.ejected == out
+    assert there.is_ejected == out
 
 
 def test_a_cache_that_answers_with_errors_alone_is_ejected_until_its_trials_succeed() -> None:
     stage = Stage(replace(SETTINGS, tells="hit"))
     stage.warm_up()
     bad = stage.router.endpoints.backends[CACHES[0]]
-    assert answer_all(stage, {bad.name}, 100) <= 12 and bad.ejected
-    assert not any(stage.router.endpoints.backends[c].ejected for c in CACHES[1:])
+    assert answer_all(stage, {bad.name}, 100) <= 12 and bad.is_ejected
+    assert not any(stage.router.endpoints.backends[c].is_ejected for c in CACHES[1:])
     stage.wait(1.0)
     stage.give(i.HealthCheckResult(bad.name, "ok"))
     for good in range(4):
-        assert bad.ejected and bad.trials_required == 4 - good  # one good answer may be chance
+        assert bad.is_ejected and bad.trials_required == 4 - good  # one good answer may be chance
         while not any(a.backend == bad.name for a in stage.in_flight.values()):
             stage.ask(f"/t{stage.count}")
         for key in list(stage.in_flight):
             stage.end(key, "ok")
-    assert not bad.ejected
+    assert not bad.is_ejected
 
 
 def test_when_all_caches_err_alike_none_is_ejected() -> None:
     stage = Stage(replace(SETTINGS, tells="hit"))
     stage.warm_up()
     answer_all(stage, set(CACHES), 60)
-    assert not any(stage.router.endpoints.backends[c].ejected for c in CACHES)
+    assert not any(stage.router.endpoints.backends[c].is_ejected for c in CACHES)
 
 
 def test_broken_connections_do_not_eject_a_backend_that_answers_meanwhile() -> None:
@@ -166,7 +166,7 @@
         again = attempts(stage.end((f"s{n}", 0), "reset"))
         assert [attempt.backend for attempt in again] == [home]  # the copy is at home
         stage.end((f"s{n}", 1), "ok", "hit")
-    assert not stage.router.endpoints.backends[home].ejected
+    assert not stage.router.endpoints.backends[home].is_ejected
 
 
 def test_resets_alone_are_no_restart_that_calls_for_slow_start() -> None:
@@ -175,7 +175,10 @@
     stage.end(("r1", 0), "reset")
     stage.ask("/a")
     stage.end(("r2", 0), "reset")
-    assert stage.router.endpoints.backends[home].ejected and not stage.router.endpoints.backends[home].connection_lost
+    assert (
+        stage.router.endpoints.backends[home].is_ejected
+        and not stage.router.endpoints.backends[home].has_lost_connection
+    )
 
 
 def test_when_all_caches_grow_slower_alike_none_is_ejected() -> None:
@@ -186,4 +189,4 @@
         stage.wait(0.05)
         for key in [k for k in stage.in_flight if stage.now - stage.sent_times[k] >= 0.05 + 0.01 * n]:
             stage.end(key, "ok", "hit")
-        assert not any(stage.router.endpoints.backends[c].ejected for c in CACHES)
+        assert not any(stage.router.endpoints.backends[c].is_ejected for c in CACHES)
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -10,13 +10,13 @@
 
 from beechslip.routing import Router
 from beechslip.routing import interface as i
-from beechslip.routing.placement import RendezvousOrder, mix, stable_hash
+from beechslip.routing.placement import RendezvousOrder, hash_to_unit, stable_hash
 from tests.helpers import SETTINGS
 
 
 def reference(key: int, salts: list[int], weights: list[float]) -> list[int]:
     """All scores one by one, sorted."""
-    return sorted(range(len(salts)), key=lambda n: math.log(mix(key, salts[n])) / weights[n], reverse=True)
+    return sorted(range(len(salts)), key=lambda n: math.log(hash_to_unit(key, salts[n])) / weights[n], reverse=True)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -27,19 +27,19 @@
     weights = [rng.choice([1.0, 2.5, 4.0]) if weighted else 1.0 for _ in salts]
     order = RendezvousOrder(salts, weights)
     for key in (rng.getrandbits(64) for _ in range(50)):
-        assert list(order.best_first(key)) == reference(key, salts, weights)
+        assert list(order.ranked_positions(key)) == reference(key, salts, weights)
 
 
 def test_of_no_store_there_is_no_order() -> None:
-    assert list(RendezvousOrder((), ()).best_first(7)) == []
+    assert list(RendezvousOrder((), ()).ranked_positions(7)) == []
 
 
 def test_a_store_that_leaves_moves_its_own_keys_alone() -> None:
     salts = [stable_hash(f"s{n}") for n in range(40)]
     before, after = RendezvousOrder(salts, [1.0] * 40), RendezvousOrder(salts[:-1], [1.0] * 39)
     for key in map(stable_hash, map(str, range(2_000))):
-        home = next(before.best_first(key))
-        assert home == 39 or next(after.best_first(key)) == home
+        home = next(before.ranked_positions(key))
+        assert home == 39 or next(after.ranked_positions(key)) == home
 
 
 def steps(router: Router, event: i.Event, now: float) -> int:
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -110,5 +110,5 @@
     for backend in stage.router.endpoints.backends.values():
         stage.router.health.eject(backend)
     waits = [stage.router.retries.retry_after() for _ in range(50)]
-    soonest = min(b.ejected_until for b in stage.router.endpoints.backends.values() if b.ejected) - stage.now
+    soonest = min(b.ejected_until for b in stage.router.endpoints.backends.values() if b.is_ejected) - stage.now
     assert len(set(waits)) == 50 and min(waits) >= soonest and max(waits) - min(waits) > 0.2 * soonest
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -93,7 +93,7 @@
     stage.warm_up()
     bad = stage.router.endpoints.backends[CACHES[0]]
     answer_all(stage, {bad.name}, 100)
-    assert bad.ejected and bad.is_error_outlier
+    assert bad.is_ejected and bad.is_error_outlier
     stage.now += 0.4
     for n in range(60):
         stage.ask(f"/x{n}", name=f"n{n}")
@@ -123,5 +123,5 @@
         stage.ask(f"/x{n}", name=f"n{n}")
         for key in list(stage.in_flight):
             stage.end(key, "reset")
-    assert all(stage.router.endpoints.backends[c].ejected for c in CACHES)
+    assert all(stage.router.endpoints.backends[c].is_ejected for c in CACHES)
     assert attempts(stage.ask("/a"))
--- a/tests/routing/test_size_fairness.py
+++ b/tests/routing/test_size_fairness.py
@@ -7,7 +7,13 @@
 import pytest
 
 from beechslip.routing import interface as i
-from beechslip.routing.size_fairness import GUARANTEED, MAX_CREDIT, MAX_DEFICIT, GuaranteedShares, SizeBands
+from beechslip.routing.size_fairness import (
+    GUARANTEED_FRACTION,
+    MAX_CREDIT,
+    MAX_DEFICIT,
+    GuaranteedShares,
+    SizeBandClassifier,
+)
 from beechslip.routing.state import OpenRequest, SizeBand
 from tests.helpers import CLASSES, Stage, finals
 
@@ -17,7 +23,7 @@
 
 
 def test_bands_are_found_by_size_within_the_class() -> None:
-    bands = SizeBands()
+    bands = SizeBandClassifier()
     for n in range(100):
         bands.classify(request(1.0 + 0.01 * n))
         bands.classify(request(0.01 + 0.0001 * n, "small"))
@@ -41,7 +47,7 @@
     whole = sum(map(sum, accepted.values())) / 4000
     for band in (SizeBand.LARGEST, SizeBand.NEXT_LARGEST):
         share = sum(accepted[band]) / len(accepted[band])
-        assert share >= 0.95 * GUARANTEED * whole
+        assert share >= 0.95 * GUARANTEED_FRACTION * whole
     assert whole > 0.7 * served_of_rest
 
 
@@ -58,7 +64,7 @@
         tries += 1
         if shares.decide(one, False):
             break
-    assert MAX_CREDIT < tries <= 2 * (MAX_CREDIT + MAX_DEFICIT) / GUARANTEED
+    assert MAX_CREDIT < tries <= 2 * (MAX_CREDIT + MAX_DEFICIT) / GUARANTEED_FRACTION
 
 
 def test_the_largest_are_not_all_rejected_while_the_caches_are_full() -> None:
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -17,7 +17,7 @@
 ) -> None:
     stage = Stage()
     stage.warm_up()
-    capacity = max(stage.router.slow_start.capacity.values())
+    capacity = max(stage.router.slow_start.observed_capacity.values())
     stage.give(i.EndpointList("changes", entries(**{backend: {"started": stage.now}})))
     work = 0.0
     for n in range(300):
@@ -45,18 +45,18 @@
     # With the large rejected, the class's mean overstates what a warm backend has served.
     stage = Stage()
     for n in range(400):
-        stage.router.estimates.learn_transfer_time(SETTINGS.classes["big"], 1.0)
+        stage.router.estimates.update_mean_transfer_time(SETTINGS.classes["big"], 1.0)
         stage.ask(f"/w{n}", size=40.0)
         stage.now += 0.05
         stage.end((f"r{stage.count}", 0), "ok", "hit")
-    assert stage.router.slow_start.capacity["cache"] <= 0.01 / 0.05
+    assert stage.router.slow_start.observed_capacity["cache"] <= 0.01 / 0.05
 
 
 def test_a_stated_weight_caps_the_quota_of_a_warming_cache() -> None:
     settings = replace(SETTINGS, weights="nominal", proxies_in_zone=2)
     listed = entries(**{f"c{n}": {"weight": 4.0, "started": 0.0 if n else 999.0} for n in range(4)})
     stage = Stage(settings, listed=listed)
-    stage.router.slow_start.capacity["cache"] = 50.0
+    stage.router.slow_start.observed_capacity["cache"] = 50.0
     issued = [a for n in range(400) for a in attempts(stage.ask(f"/x{n}")) if a.backend == "c0:80"]
     assert len(issued) * 0.1 <= (0.2 + 0.8 / 16) * 2.5 / 2 * 4.0 / 2 + 0.1
 
@@ -130,7 +130,7 @@
     stage.warm_up()
     stage.give(i.EndpointList("changes", entries(p0={"state": "gone"}, p1={"started": stage.now})))
     sources = Counter(attempts(stage.ask(f"/x{n}"))[0].source for n in range(100))
-    assert sources["p1:80"] * 0.1 <= 0.07 * 2.0 * max(stage.router.slow_start.capacity.values())
+    assert sources["p1:80"] * 0.1 <= 0.07 * 2.0 * max(stage.router.slow_start.observed_capacity.values())
     assert sources[ORIGIN] > sources["p1:80"]
 
 
--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -16,7 +16,7 @@
 from lab.stand import HANG, OK, Stand, StandBackend, run, until
 from tests.test_budgets import Lease
 from tests.test_dns import ZONE, DnsStand, box, own
-from tests.test_rules import Plan as Always
+from tests.test_rules import ScriptedRouter as Always
 
 
 def part_for(stand: Any, posted: bool = True, fill_ms: float = 0.0, **amounts: float) -> BudgetPart:
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -29,7 +29,7 @@
 from beechslip.dns.lookup import Lookup
 from beechslip.routing import Router
 from beechslip.routing import interface as i
-from beechslip.routing.placement import mix, stable_hash
+from beechslip.routing.placement import hash_to_unit, stable_hash
 from beechslip.routing.wire.settings import read_settings
 from lab.stand import SETTINGS, run, until
 
@@ -49,7 +49,7 @@
 
 def home(name: str) -> int:
     """The number of the box that the module's hash gives an object."""
-    return max(range(2), key=lambda n: mix(stable_hash(f"{name}\n0"), stable_hash(f"s-{n}")))
+    return max(range(2), key=lambda n: hash_to_unit(stable_hash(f"{name}\n0"), stable_hash(f"s-{n}")))
 
 
 class NoHealthChecker:
@@ -264,8 +264,8 @@
         router.limits.parent_fills.fraction,
         router.estimates.overdue_factor,
         router.estimates.mean_transfer_time,
-        router.slow_start.capacity,
-        [tally.total for tally in router.slow_start.served.values()],
+        router.slow_start.observed_capacity,
+        [tally.total for tally in router.slow_start.served_work.values()],
     ]
 
 
--- a/tests/test_region_part.py
+++ b/tests/test_region_part.py
@@ -83,9 +83,11 @@
     assert quarter < back  # a step keeps the objects of the one before
     stage = stages[0]
     stage.give(i.RegionShares({PARENTS[0]: 0.0}))
-    stage.router.endpoints.backends[PARENTS[0]].ejected = True
+    stage.router.endpoints.backends[PARENTS[0]].is_ejected = True
     stage.give(i.RegionShares({PARENTS[0]: 0.0625}))
-    assert not stage.router.endpoints.backends[PARENTS[0]].ejected  # the router's own ejection ends with the fleet's
+    assert not stage.router.endpoints.backends[
+        PARENTS[0]
+    ].is_ejected  # the router's own ejection ends with the fleet's
     for one in stages:
         one.give(i.RegionShares({}))
     assert sources(None) == everywhere
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -23,7 +23,7 @@
 from tests.helpers import Stage, attempts
 from tests.test_dns import ZONE, DnsStand
 from tests.test_program import program
-from tests.test_rules import Plan, boxes
+from tests.test_rules import ScriptedRouter, default_backends
 
 BEFORE = read_settings(SETTINGS)
 
@@ -145,7 +145,7 @@
     unsafe = replace(
         BEFORE, classes={"waveform": replace(BEFORE.classes["waveform"], effect="unsafe")}, max_attempts=2
     )
-    async with Stand(*boxes(HANG), module=Plan("a", "b")) as stand:
+    async with Stand(*default_backends(HANG), module=ScriptedRouter("a", "b")) as stand:
         asked = stand.ask()
         await until(lambda: stand.backends[0].seen)
         stand.engine.post(SettingsChanged(unsafe))
@@ -156,7 +156,7 @@
         stand.backends[0].script = [RESET]
         count = len(stand.backends[1].seen)
         assert (await stand.ask())[0] == 502 and len(stand.backends[1].seen) == count
-        assert i.SettingsChanged(unsafe) in stand.module.heard
+        assert i.SettingsChanged(unsafe) in stand.module.received_events
 
 
 @run
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,10 +25,10 @@
 )
 
 MISS = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
-def boxes(*scripts: bytes) -> list[StandBackend]:
+def default_backends(*scripts: bytes) -> list[StandBackend]:
     return [
         StandBackend("a", *scripts),
         StandBackend("b", *scripts),
@@ -37,27 +37,27 @@
     ]
 
 
-class Plan:
+class ScriptedRouter:
     """A module that sends each request where its plan says, one attempt after another, then fails it."""
 
     def __init__(self, *stores: str, source: str = "", cancel_on_timer: bool = False) -> None:
-        self.stores, self.source, self.left = stores, source, dict[str, list[str]]()
-        self.heard: list[i.Event] = []
+        self.backend_names, self.source, self.left = stores, source, dict[str, list[str]]()
+        self.received_events: list[i.Event] = []
         self.cancel_on_timer = cancel_on_timer
 
     def start(self, now: float) -> list[i.Action]:
         return []
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
-        self.heard.append(event)
+        self.received_events.append(event)
         if isinstance(event, i.Request):
-            self.left[event.request] = list(self.stores)
-            return self.next(event.request, event.time_left)
+            self.left[event.request] = list(self.backend_names)
+            return self.next_actions(event.request, event.time_left)
         if isinstance(event, i.Outcome) and not event.finished:
-            return self.next(event.request, 1.0)
+            return self.next_actions(event.request, 1.0)
         return []
 
-    def next(self, request: str, wait: float) -> list[i.Action]:
+    def next_actions(self, request: str, wait: float) -> list[i.Action]:
         left = self.left[request]
         if not left:
             return [i.Fail(request)]
@@ -68,7 +68,7 @@
 @run
 async def test_bytes_tags_and_304s_are_carried_through() -> None:
     same = b"HTTP/1.1 304 Not Modified\r\n" + COPY + b"X-Result: local\r\n\r\n"
-    async with Stand(*boxes(OK, same)) as stand:
+    async with Stand(*default_backends(OK, same)) as stand:
         status, fields, body = await stand.ask()
         assert (status, fields["ETag"], body) == (200, '"4be0"', b"waves")
         status, fields, body = await stand.ask(If_None_Match='"4be0"')
@@ -80,7 +80,7 @@
 
 @run
 async def test_a_silent_backend_still_gives_one_final_answer_before_the_client_gives_up() -> None:
-    async with Stand(*boxes(HANG), module=Plan("a")) as stand:
+    async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         asked = stand.ask(wait_ms=2000)
         await until(lambda: stand.backends[0].seen)
         stand.clock.advance(1999)
@@ -99,7 +99,7 @@
             await written.wait()
             writer.write(OK)
 
-    async with Stand(Slow("a"), module=Plan("a")) as stand:
+    async with Stand(Slow("a"), module=ScriptedRouter("a")) as stand:
         asked = stand.ask(wait_ms=100)
         await until(lambda: stand.backends[0].seen)
         stand.clock.advance(90)
@@ -109,11 +109,11 @@
 
 @run
 async def test_a_module_that_never_answers_does_not_lose_the_request() -> None:
-    class Mute(Plan):
-        def next(self, request: str, wait: float) -> list[i.Action]:
+    class Mute(ScriptedRouter):
+        def next_actions(self, request: str, wait: float) -> list[i.Action]:
             return []
 
-    async with Stand(*boxes(), module=Mute()) as stand:
+    async with Stand(*default_backends(), module=Mute()) as stand:
         asked = stand.ask(wait_ms=2000)
         await until(lambda: stand.counters["taken"])
         stand.clock.advance(1999)
@@ -122,11 +122,11 @@
 
 @run
 async def test_a_module_that_raises_fails_the_request_and_not_the_program() -> None:
-    class Broken(Plan):
-        def next(self, request: str, wait: float) -> list[i.Action]:
+    class Broken(ScriptedRouter):
+        def next_actions(self, request: str, wait: float) -> list[i.Action]:
             raise IndexError("out of reach")
 
-    async with Stand(*boxes(), module=Broken()) as stand:
+    async with Stand(*default_backends(), module=Broken()) as stand:
         assert [(await stand.ask())[0], (await stand.ask())[0]] == [500, 500]
         assert stand.counters["fault.module"] == 2
 
@@ -135,7 +135,7 @@
 async def test_a_given_up_attempt_is_closed_before_the_next_one_starts() -> None:
     # Guards against two attempts out at once: the first must be off the wire, not just forgotten.
     backends = [StandBackend("a", HANG), StandBackend("b")]
-    async with Stand(*backends, module=Plan("a", "b")) as stand:
+    async with Stand(*backends, module=ScriptedRouter("a", "b")) as stand:
         asked = stand.ask()
         await until(lambda: backends[0].seen)
         next(iter(stand.engine._attempts.in_flight.values())).stop("cancelled")
@@ -146,12 +146,12 @@
 
 @run
 async def test_a_second_attempt_while_one_is_in_flight_is_not_started() -> None:
-    class Twice(Plan):
-        def next(self, request: str, wait: float) -> list[i.Action]:
+    class Twice(ScriptedRouter):
+        def next_actions(self, request: str, wait: float) -> list[i.Action]:
             both = len(self.left[request]) == 2
-            return super().next(request, wait) + super().next(request, wait) if both else []
+            return super().next_actions(request, wait) + super().next_actions(request, wait) if both else []
 
-    async with Stand(*boxes(), module=Twice("a", "b")) as stand:
+    async with Stand(*default_backends(), module=Twice("a", "b")) as stand:
         assert (await stand.ask())[0] == 200
         assert [len(backend.seen) for backend in stand.backends[:2]] == [1, 0]
         assert stand.counters["attempt.moot"] == 1
@@ -159,7 +159,7 @@
 
 @run
 async def test_no_more_attempts_than_permitted() -> None:
-    async with Stand(*boxes(ERROR), module=Plan(*"abababababab")) as stand:
+    async with Stand(*default_backends(ERROR_RESPONSE), module=ScriptedRouter(*"abababababab")) as stand:
         assert (await stand.ask())[0] == 502
         assert sum(len(backend.seen) for backend in stand.backends) == 8
 
@@ -167,12 +167,12 @@
 @run
 async def test_an_attempt_stopped_before_its_first_step_still_ends() -> None:
     # Its task runs none of its code then; unreported, the module would count it as out for good.
-    async with Stand(*boxes(), module=(plan := Plan("a"))) as stand:
+    async with Stand(*default_backends(), module=(plan := ScriptedRouter("a"))) as stand:
         response_sink: Any = type("Sink", (), {"answer": staticmethod(lambda final: None), "departed": False})()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
         stand.engine.step(RequestReceived(call, stand.client, response_sink))
         stand.engine.step(ClientDisconnected("1", response_sink))
-        await until(lambda: any(isinstance(event, i.Outcome) for event in plan.heard))
+        await until(lambda: any(isinstance(event, i.Outcome) for event in plan.received_events))
         assert not stand.engine._attempts.in_flight and not stand.backends[0].seen
 
 
@@ -180,8 +180,8 @@
 @pytest.mark.parametrize("drained", ["a", "hub"])
 async def test_nothing_new_goes_to_or_through_a_draining_backend(drained: str) -> None:
     # The drain arrives after the module has chosen and before the first byte: dialling takes time.
-    plan = Plan("a", source="hub")
-    async with Stand(*boxes(), module=plan) as stand:
+    plan = ScriptedRouter("a", source="hub")
+    async with Stand(*default_backends(), module=plan) as stand:
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
         response_sink: Any = type("Sink", (), {"answer": staticmethod(final.set_result), "departed": False})()
@@ -194,7 +194,7 @@
 
 @run
 async def test_purges_and_drain_notices_overtake_queued_requests() -> None:
-    async with Stand(*boxes()) as stand:
+    async with Stand(*default_backends()) as stand:
         home, other = stand.home()
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
         response_sink: Any = type("Sink", (), {"answer": staticmethod(final.set_result), "departed": False})()
@@ -209,17 +209,17 @@
 
 @run
 async def test_the_age_of_a_purge_is_taken_when_the_module_gets_it() -> None:
-    plan = Plan()
-    async with Stand(*boxes(), module=plan) as stand:
+    plan = ScriptedRouter()
+    async with Stand(*default_backends(), module=plan) as stand:
         stand.engine.post(PurgeReceived("7f3a", 0, stand.clock.now_ms() - 100))
         stand.clock.advance(400)
-        await until(lambda: any(isinstance(event, i.Purge) for event in plan.heard))
-        assert plan.heard[-1] == i.Purge("7f3a", 0, 0.5)
+        await until(lambda: any(isinstance(event, i.Purge) for event in plan.received_events))
+        assert plan.received_events[-1] == i.Purge("7f3a", 0, 0.5)
 
 
 @run
 async def test_a_write_goes_to_the_archive_once_with_its_key_and_body() -> None:
-    async with Stand(*boxes()) as stand:
+    async with Stand(*default_backends()) as stand:
         status, _, _ = await stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", Req_Token="5c0f")
         seen = [(backend.name, *message) for backend in stand.backends for message in backend.seen]
         assert status == 200 and len(seen) == 1
@@ -231,8 +231,8 @@
 @run
 async def test_a_keyed_repeat_is_not_written_after_its_window() -> None:
     # A backend that discards repeats for 6 s would run one that comes later.
-    plan = Plan("a", "b")
-    async with Stand(*boxes(HANG), module=plan) as stand:
+    plan = ScriptedRouter("a", "b")
+    async with Stand(*default_backends(HANG), module=plan) as stand:
         stand.engine.settings.classes["pick-submit"] = replace(
             stand.engine.settings.classes["pick-submit"], window=0.5
         )
@@ -246,7 +246,7 @@
 @run
 async def test_a_flood_of_refusals_is_counted_completely_and_logged_in_part(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", "beechslip.engine")
-    async with Stand(module=Plan()) as stand:
+    async with Stand(module=ScriptedRouter()) as stand:
         for n in range(50):
             response_sink: Any = type(
                 "Answerer", (), {"answer": staticmethod(lambda final: None), "departed": False}
@@ -259,30 +259,30 @@
 
 @run
 async def test_a_client_that_leaves_frees_its_attempt() -> None:
-    async with Stand(*boxes(HANG), module=Plan("a")) as stand:
+    async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         asked = stand.ask()
         await until(lambda: stand.backends[0].seen)
         asked.cancel()
         await until(lambda: stand.backends[0].closed)
         await until(stand.engine.quiet.is_set)
         assert stand.counters["left"] == 1 and not stand.engine._attempts.in_flight
-        assert any(isinstance(event, i.ClientGone) for event in stand.module.heard)
+        assert any(isinstance(event, i.ClientGone) for event in stand.module.received_events)
 
 
 @run
 async def test_a_refusal_carries_its_retry_after() -> None:
-    class Full(Plan):
-        def next(self, request: str, wait: float) -> list[i.Action]:
+    class Full(ScriptedRouter):
+        def next_actions(self, request: str, wait: float) -> list[i.Action]:
             return [i.Refuse(request, 0.25)]
 
-    async with Stand(*boxes(), module=Full()) as stand:
+    async with Stand(*default_backends(), module=Full()) as stand:
         status, fields, _ = await stand.ask()
         assert (status, fields["Srv-Wait-Ms"]) == (503, "250")
 
 
 @run
 async def test_an_id_that_is_open_already_is_not_taken_twice() -> None:
-    async with Stand(*boxes(HANG), module=Plan("a")) as stand:
+    async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         first = stand.ask(Req_Id="9b1f03aa5c7e2d41")
         await until(lambda: stand.backends[0].seen)
         assert (await stand.ask(Req_Id="9b1f03aa5c7e2d41"))[0] == 409
@@ -292,7 +292,7 @@
 @run
 @pytest.mark.parametrize("slow_start", [True, False])
 async def test_a_backend_in_slow_start_gets_no_more_than_its_allowance(slow_start: bool) -> None:
-    async with Stand(*boxes(HANG)) as stand:
+    async with Stand(*default_backends(HANG)) as stand:
         box, rules = stand.home()[0], stand.settings
         # In 3 s it may be sent 2.5 times what it gives: as long as nothing is learned, 0.18 of one transfer.
         most = (
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -25,7 +25,7 @@
 from tests.connection_helpers import Gated, client, command, connections
 from tests.test_program import ROOT, Program, program
 from tests.test_record import stage, submit
-from tests.test_rules import ERROR, Plan
+from tests.test_rules import ERROR_RESPONSE, ScriptedRouter
 
 FAULTS = ROOT / "lab" / "faults"
 SLACK_MS = 150.0  # of the deadline passed to a server
@@ -261,7 +261,7 @@
 
 @run
 async def test_a_client_that_closes_behind_more_than_is_read_of_it_gets_no_further_attempt() -> None:
-    async with Stand(backend := Gated("a"), module=Plan("a")) as stand:
+    async with Stand(backend := Gated("a"), module=ScriptedRouter("a")) as stand:
         async with client(stand.port) as one:
             one.send(b"".join(command(f"/rpc/waveform/{n:0200}") for n in range(4_000)))
             await until(lambda: backend.seen)
@@ -276,7 +276,7 @@
 async def test_a_client_that_disconnects_while_the_first_byte_can_not_be_written_gets_no_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with Stand(backend := StandBackend("a"), module=Plan("a")) as stand:
+    async with Stand(backend := StandBackend("a"), module=ScriptedRouter("a")) as stand:
         full = asyncio.Event()
 
         def send(sock: RetryingSocket, data: bytes, flags: int = 0) -> int:
@@ -360,18 +360,20 @@
 async def test_a_keyed_request_without_a_key_is_not_repeated_and_not_refused_once_it_may_have_run(
     token: str, status: int, executed: int
 ) -> None:
-    class Refuses(Plan):
-        def next(self, request: str, wait: float) -> list[i.Action]:
-            return super().next(request, wait) if self.left[request] else [i.Refuse(request)]
+    class Refuses(ScriptedRouter):
+        def next_actions(self, request: str, wait: float) -> list[i.Action]:
+            return super().next_actions(request, wait) if self.left[request] else [i.Refuse(request)]
 
-    async with Stand(StandBackend("a", ERROR), StandBackend("b", ERROR), module=Refuses("a", "b")) as stand:
+    async with Stand(
+        StandBackend("a", ERROR_RESPONSE), StandBackend("b", ERROR_RESPONSE), module=Refuses("a", "b")
+    ) as stand:
         answer = await stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", Req_Token=token)
         assert (answer[0], sum(len(backend.seen) for backend in stand.backends)) == (status, executed)
 
 
 @run
 async def test_a_client_that_expects_100_continue_gets_it() -> None:
-    async with Stand(backend := StandBackend("a"), module=Plan("a")) as stand, client(stand.port) as one:
+    async with Stand(backend := StandBackend("a"), module=ScriptedRouter("a")) as stand, client(stand.port) as one:
         one.send(
             command("/rpc/pick-submit/9c").replace(b"GET", b"PUT", 1)[:-2]
             + b"Req-Token: 5c\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n"
