--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Which requests are rejected, and which only look, as the caches fill."""
+"""Admission control: which requests are rejected or limited to cached copies as the caches become busy."""
 
 from __future__ import annotations
 
@@ -11,67 +11,73 @@
 from tests.helpers import PARENTS, SETTINGS, Stage, attempts, entries, finals, home_of
 
 
-def test_a_cache_whose_answers_come_late_gets_fewer_and_the_lowest_density_is_rejected() -> None:
+def test_late_answers_of_caches_reject_requests_of_low_density() -> None:
     stage = Stage()
     for n in range(120):
         stage.ask(f"/x{n}", size=400.0)
     stage.now += 1.5
     for key in list(stage.in_flight)[:60]:
         stage.end(key, "ok", "hit")
-    big = finals([a for n in range(60) for a in stage.ask(f"/y{n}", size=20000.0)])
-    assert len(big) >= 20 and all(isinstance(a, i.Refuse) for a in big)
+    answers = finals([a for n in range(60) for a in stage.ask(f"/y{n}", size=20000.0)])
+    assert len(answers) >= 20 and all(isinstance(a, i.Refuse) for a in answers)
 
 
 @pytest.mark.parametrize(
-    ("seen", "then", "passes_on"),
+    ("first_report", "second_report", "is_full"),
     [
-        ({"held": 10.0, "busy": 0.6}, {"held": 40.0, "busy": 1.0}, True),  # 17 fit: it holds two for each
-        ({"held": 30.0, "busy": 0.6}, {"held": 40.0, "busy": 1.0}, False),  # 50 fit
-        ({"held": 10.0, "busy": 0.6}, {"held": 40.0, "busy": 0.5}, False),  # a free link: they wait for fills
-        ({"held": 10.0, "busy": 0.1}, {"held": 40.0, "busy": 1.0}, False),  # too idle to teach what fits
+        # The link carries 17 transfers, and more than two requests for each of them are in progress.
+        ({"held": 10.0, "busy": 0.6}, {"held": 40.0, "busy": 1.0}, True),
+        # The link carries 50 transfers.
+        ({"held": 30.0, "busy": 0.6}, {"held": 40.0, "busy": 1.0}, False),
+        # The link is not busy: the requests wait for fills.
+        ({"held": 10.0, "busy": 0.6}, {"held": 40.0, "busy": 0.5}, False),
+        # The link was too idle to show its capacity.
+        ({"held": 10.0, "busy": 0.1}, {"held": 40.0, "busy": 1.0}, False),
     ],
 )
-def test_the_capacity_of_a_link_is_learned_where_sizes_are_not_stated(
-    seen: dict[str, float], then: dict[str, float], passes_on: bool
+def test_link_capacity_is_learned_from_load_reports_where_it_is_not_stated(
+    first_report: dict[str, float], second_report: dict[str, float], is_full: bool
 ) -> None:
-    # One box held 79 requests at 790 ms while its neighbours held 20: nothing had been late for long enough.
+    # Guards against one cache with 79 requests of 790 ms while its neighbours had 20 each: no answer had been late
+    # for long enough to limit it.
     stage = Stage()
     home = home_of(stage, "/a")
     stage.in_flight.clear()
-    for n, report in enumerate((seen, then)):
+    for n, report in enumerate((first_report, second_report)):
         stage.ask("/a", name=f"s{n}")
         issued = stage.in_flight.pop((f"s{n}", 0))
         stage.give(i.Outcome(f"s{n}", 0, issued.backend, "ok", 0.1, True, "hit", report=report))
-    assert (home_of(stage, "/a") != home) == passes_on
-    stage.now += 2.0  # an old report says nothing
+    assert (home_of(stage, "/a") != home) == is_full
+    stage.now += 2.0  # the report has expired
     assert home_of(stage, "/a") == home
 
 
 @pytest.mark.parametrize(
-    ("report", "passes_on"),
+    ("report", "is_full"),
     [
         ({"held": 60.0, "busy": 1.0}, True),
         ({"held": 60.0, "busy": 0.3}, False),
         ({"held": 4.0, "busy": 1.0}, False),
     ],
 )
-def test_a_busy_cache_that_holds_more_than_its_link_carries_is_full(
+def test_cache_is_full_if_busy_with_more_requests_than_its_link_carries(
     report: dict[str, float],
-    passes_on: bool,
+    is_full: bool,
 ) -> None:
-    # Where sizes are not stated, answers learned in a jam look on time; what waits for fills uses no link.
+    # Where sizes are not stated, transfer times learned during congestion make answers look on time. Requests that
+    # wait for fills use no link.
     listed = entries(**{f"c{n}": {"weight": 10.0} for n in range(4)})
     stage = Stage(replace(SETTINGS, weights="nominal"), listed=listed)
     home = home_of(stage, "/a")
     stage.now += 0.1
     stage.in_flight.clear()
     stage.give(i.Outcome("r1", 0, home, "ok", 0.1, True, "hit", report=report))
-    assert (home_of(stage, "/a") != home) == passes_on
-    stage.now += 2.0  # an old report says nothing
+    assert (home_of(stage, "/a") != home) == is_full
+    stage.now += 2.0  # the report has expired
     assert home_of(stage, "/a") == home
 
 
-def test_while_fills_come_late_the_lowest_density_only_looks_but_for_its_guaranteed_share() -> None:
+def test_late_fills_limit_low_density_requests_to_cached_only_except_their_guaranteed_share() -> None:
     stage = Stage()
     for _ in range(12):
         for n in range(6):
@@ -84,22 +90,22 @@
         is_large = n % 10 == 0
         asked = small if not is_large else large
         asked += attempts(stage.ask(f"/y{n}", size=9000.0 if is_large else 4.0))
-    looks = [a for a in large if a.source == a.backend]
+    cached_only = [a for a in large if a.source == a.backend]
     assert len(large) == 40 and all(a.source in PARENTS for a in small)
     assert (
         (1.0 - GUARANTEED_FRACTION) * len(large)
-        <= len(looks)
+        <= len(cached_only)
         <= (1.0 - GUARANTEED_FRACTION) * len(large) + MAX_CREDIT
     )
-    assert [type(a) for a in finals(stage.end((looks[-1].request, 0), "miss"))] == [i.Refuse]
+    assert [type(a) for a in finals(stage.end((cached_only[-1].request, 0), "miss"))] == [i.Refuse]
 
 
-# Guards against links without load reports on which small hits are on time and the largest never end.
+# Guards against links without load reports on which small hits are on time while the largest hits never end.
 @pytest.mark.parametrize(
-    ("known_capacity", "size", "passes_on"), [(0.0, 800.0, True), (8.0, 800.0, False), (0.0, 40.0, False)]
+    ("known_capacity", "size", "is_full"), [(0.0, 800.0, True), (8.0, 800.0, False), (0.0, 40.0, False)]
 )
-def test_where_no_report_tells_what_a_link_carries_the_pace_of_hits_tells_a_full_one(
-    known_capacity: float, size: float, passes_on: bool
+def test_slow_hits_mark_a_cache_as_full_where_its_link_capacity_is_unknown(
+    known_capacity: float, size: float, is_full: bool
 ) -> None:
     stage = Stage()
     home = home_of(stage, "/a")
@@ -110,6 +116,6 @@
         asked.add(attempts(stage.ask("/a", name=f"h{n}", size=size))[0].backend)
         stage.now += 4.0 * size / SETTINGS.flow_kb_s
         stage.end((f"h{n}", 0), "ok", "hit")
-    assert home in asked and (len(asked) > 1) == passes_on
-    stage.now += 2.0  # an old pace says nothing
+    assert home in asked and (len(asked) > 1) == is_full
+    stage.now += 2.0  # the measured hit time has expired
     assert home_of(stage, "/a") == home
--- a/tests/routing/test_concurrency.py
+++ b/tests/routing/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Concurrency limits of backends and the throttle on fills."""
+"""Concurrency limits of backends and the throttles on fills."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tests.helpers import CACHES, DIRECT, HITS_NOTED, PARENTS, SETTINGS, Stage, attempts, entries, finals, home_of
 
 
-def test_a_hurried_client_is_no_sign_of_load_or_of_a_silent_backend() -> None:
+def test_short_deadlines_neither_eject_a_cache_nor_lower_any_limit() -> None:
     stage = Stage()
     home = home_of(stage, "/a")
     stage.end(("r1", 0), "ok", "hit")
     for n in range(30):
-        stage.ask("/a", name=f"h{n}", left=0.06, size=40.0)  # time for its bytes, and for little else
+        stage.ask("/a", name=f"h{n}", left=0.06, size=40.0)  # enough time for the transfer, but little more
         stage.wait(0.06)
         stage.end((f"h{n}", 0), "timeout")
     backend = stage.router.endpoints.backends[home]
@@ -28,11 +28,9 @@
     )
 
 
-@pytest.mark.parametrize(("tells", "shrinks"), [("hit", False), ("all", False), ("", True)])
-def test_a_timeout_that_may_have_waited_for_a_fill_spares_the_limit_where_notes_tell_hits(
-    tells: str, shrinks: bool
-) -> None:
-    # A slow origin must not make caches look full that answer what they hold at once.
+@pytest.mark.parametrize(("tells", "is_lowered"), [("hit", False), ("all", False), ("", True)])
+def test_timeout_lowers_the_cache_limit_only_where_notes_do_not_tell_hits(tells: str, is_lowered: bool) -> None:
+    # A slow origin must not make caches appear full that serve their own copies at once.
     stage = Stage(replace(SETTINGS, tells=tells))
     home = home_of(stage, "/a")
     for n in range(30):
@@ -41,11 +39,11 @@
         stage.end((f"t{n}", 0), "timeout")
     assert (
         stage.router.endpoints.backends[home].concurrency_limit < math.inf
-    ) == shrinks and stage.router.limits.parent_fills.fraction < 1.0
+    ) == is_lowered and stage.router.limits.parent_fills.fraction < 1.0
 
 
-def test_fills_are_admitted_again_within_two_seconds_of_timely_ones() -> None:
-    # Once the jam is over each second of it costs a third of all requests.
+def test_fill_throttle_recovers_within_two_seconds_of_timely_fills() -> None:
+    # After congestion has ended, each further second of a low fill fraction costs a third of all requests.
     stage = Stage(replace(SETTINGS, tells="hit"))
     stage.router.limits.parent_fills.fraction = MIN_FILL_FRACTION
     for _ in range(20):
@@ -57,8 +55,9 @@
     assert stage.router.limits.parent_fills.fraction == 1.0
 
 
-def test_requests_that_go_straight_keep_to_the_concurrency_limit_of_the_parent() -> None:
-    # A lost station's requests crowded the parents until stations with healthy caches lost two in five.
+def test_direct_requests_respect_the_concurrency_limit_of_the_parent() -> None:
+    # Guards against a zone that has lost its caches and crowds the parents with its requests: zones with healthy
+    # caches lost two requests in five.
     stage = Stage(DIRECT, listed=tuple(e for e in entries() if e.backend not in CACHES))
     for n in range(200):
         stage.ask(f"/x{n}", name=f"n{n}", left=2.0)
@@ -70,10 +69,11 @@
     assert 100 < len(attempts(asked)) < 180 and len(finals(asked)) == 200 - len(attempts(asked))
 
 
-@pytest.mark.parametrize(("late", "cut"), [(1, False), (4, True)])
-def test_one_late_answer_in_five_is_enough_to_pass_objects_on(late: int, cut: bool) -> None:
-    # With its neighbour dead, a cache at half its pace made 15 to 25 of 100 answers late for 10 s while
-    # another stood idle: a third, the fraction that cuts fills, is never reached by what is mostly hits.
+@pytest.mark.parametrize(("late", "is_cut"), [(1, False), (4, True)])
+def test_concurrency_limit_is_cut_by_four_late_answers_in_forty(late: int, is_cut: bool) -> None:
+    # Guards against a cache at half its speed whose neighbour had failed: 15 to 25 of 100 answers were late for
+    # 10 s while another cache was idle. A third, the fraction that cuts fills, is never reached where most answers
+    # are hits.
     stage = Stage()
     for _ in range(40):
         stage.ask("/one", size=400.0)
@@ -84,16 +84,16 @@
     stage.now += 3.0
     for key in keys[:late]:
         stage.end(key, "ok", "hit")
-    assert (home.concurrency_limit < 40) == cut
+    assert (home.concurrency_limit < 40) == is_cut
 
 
-def test_fills_from_the_origin_itself_are_bounded_apart_and_faster() -> None:
+def test_origin_fills_have_a_throttle_of_their_own_that_is_cut_faster() -> None:
     stage = Stage(HITS_NOTED, listed=tuple(e for e in entries() if e.backend not in PARENTS))
     for n in range(4):
         stage.ask(f"/x{n}", size=40.0)
     stage.now += 1.5
     for key in list(stage.in_flight):
-        stage.end(key, "ok", "filled")  # sent together: one jam, one cut
+        stage.end(key, "ok", "filled")  # sent together, so they cause only one cut
     assert (stage.router.limits.origin_fills.fraction, stage.router.limits.parent_fills.fraction) == (0.5, 1.0)
     stage.now += 0.1
     stage.ask("/y", size=4.0, name="y")
@@ -102,8 +102,8 @@
     assert stage.router.limits.origin_fills.fraction == 0.25
 
 
-def test_fills_return_by_time_however_few_a_proxy_sees() -> None:
-    # A proxy of a large fleet sees about one fill a second; counted by fills it would look on for minutes.
+def test_fill_throttle_recovers_over_time_even_with_few_fills() -> None:
+    # A proxy of a large fleet sees about one fill a second. If recovery were counted in fills, it would take minutes.
     stage = Stage()
     stage.router.limits.parent_fills.fraction = 0.03
     for n in range(12):
@@ -116,7 +116,7 @@
 
 
 def test_fills_that_fail_at_the_origin_count_as_late() -> None:
-    # A slow origin that fails nearly all fills drowns in further ones; those that fail fast are no better.
+    # A slow origin that fails nearly all fills is overloaded further by new ones, even if those fail fast.
     stage = Stage()
     for n in range(40):
         stage.ask(f"/x{n}", name=f"n{n}")
@@ -126,7 +126,7 @@
     assert stage.router.limits.parent_fills.fraction < 0.5
 
 
-def test_a_zones_link_reported_many_times_full_counts_as_a_late_fill() -> None:
+def test_report_of_an_overloaded_zone_link_counts_as_a_late_fill() -> None:
     stage = Stage()
     for n in range(40):
         stage.ask(f"/x{n}", name=f"n{n}")
@@ -137,8 +137,8 @@
     assert stage.router.limits.parent_fills.fraction < 0.5
 
 
-# Guards against a link on which only the few largest answers are late, and run out of time.
-def test_late_answers_count_by_their_work() -> None:
+# Guards against a link on which only the few largest answers are late and run out of time.
+def test_late_answers_count_by_their_transfer_time() -> None:
     stage = Stage()
     home = home_of(stage, "/a")
     stage.in_flight.clear()
--- a/tests/routing/test_freshness.py
+++ b/tests/routing/test_freshness.py
@@ -1,4 +1,4 @@
-"""The oldest copy that may answer: purges, fresh time and grace."""
+"""The age limit of copies: purges, fresh time and grace time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("purge", [i.Purge("/a", 1, 0.2), i.Purge("", 1, 0.2)])
-def test_after_a_purge_every_attempt_has_an_age_limit_until_all_copies_are_dropped(purge: i.Purge) -> None:
+def test_purge_limits_the_copy_age_of_every_attempt_until_it_has_propagated(purge: i.Purge) -> None:
     stage = Stage()
     stage.give(purge)
     purged_at = stage.now
@@ -24,20 +24,20 @@
     )
 
 
-def test_an_age_limit_is_never_rounded_to_no_limit() -> None:
+def test_age_limit_is_never_rounded_to_0() -> None:
     stage = Stage()
     stage.give(i.Purge("/a", 1, 0.0))
     assert attempts(stage.ask("/a"))[0].max_age >= 1e-6
 
 
-def test_a_limit_never_exceeds_the_fresh_time_and_others_are_untouched() -> None:
+def test_age_limit_never_exceeds_the_fresh_time_and_other_objects_keep_theirs() -> None:
     stage = Stage()
     stage.give(i.Purge("/a", 1, 0.1))
     assert attempts(stage.ask("/b", "small", group=2))[0].max_age == 8.0
     assert attempts(stage.ask("/a", "small"))[0].max_age < 8.0
 
 
-def test_purge_memory_is_bounded_and_stays_on_the_safe_side(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_purge_log_is_bounded_and_still_limits_the_age_of_dropped_objects(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beechslip.routing.freshness.MAX_PURGES", 10)
     stage = Stage()
     for n in range(50):
@@ -46,7 +46,7 @@
     assert 0.0 < attempts(stage.ask("/p0", group=99))[0].max_age <= 0.2
 
 
-def test_a_stale_copy_is_never_older_than_a_purge() -> None:
+def test_stale_copy_from_before_a_purge_is_not_requested() -> None:
     stage = Stage()
     stage.give(i.Purge("/a", 1, 0.1))
     stage.ask("/a", "small", left=2.5)
@@ -54,7 +54,7 @@
     assert not attempts(stage.end(("r1", 0), "miss", "source_lost"))
 
 
-def test_a_long_wait_is_served_stale_within_the_grace_without_a_fill() -> None:
+def test_late_request_gets_a_stale_copy_within_the_grace_time_without_a_fill() -> None:
     stage = Stage()
     stage.ask("/a", "small", left=2.5)
     stage.now += 1.0
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -21,7 +21,7 @@
 )
 
 
-def test_a_cache_that_refuses_connections_is_ejected_and_restored_by_health_check_and_trial() -> None:
+def test_cache_that_refuses_connections_is_ejected_and_restored_by_a_health_check_and_a_trial() -> None:
     stage = Stage()
     home = home_of(stage, "/a")
     stage.end(("r1", 0), "connect_failed")
@@ -33,12 +33,12 @@
     stage.give(i.HealthCheckResult(home, "ok"))
     trial = attempts(stage.ask("/a", name="trial"))[0]
     assert trial.backend == home
-    assert home_of(stage, "/a") != home  # one trial at a time
+    assert home_of(stage, "/a") != home  # only one trial at a time
     stage.end(("trial", 0), "ok", "hit")
     assert not stage.router.endpoints.backends[home].is_ejected
 
 
-def test_a_failed_health_check_lengthens_the_backoff() -> None:
+def test_failed_health_check_doubles_the_ejection_time() -> None:
     stage = Stage()
     home = home_of(stage, "/a")
     stage.end(("r1", 0), "connect_failed")
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("health_checks", [True, False])
-def test_a_silent_cache_is_ejected_and_its_requests_move_on(health_checks: bool) -> None:
+def test_silent_cache_is_ejected_and_its_requests_move_to_another(health_checks: bool) -> None:
     stage = Stage(replace(SETTINGS, can_health_check=health_checks))
     home = home_of(stage, "/a")
     for _ in range(4):
@@ -59,15 +59,17 @@
     acts = stage.wait(0.5)
     if health_checks:
         assert [a.backend for a in acts if isinstance(a, i.HealthCheck)] == [home]
-        assert not stage.router.endpoints.backends[home].is_ejected  # one met seldom looks so when its source is slow
+        # At a cache with few requests a slow source looks the same.
+        assert not stage.router.endpoints.backends[home].is_ejected
         acts += stage.give(i.HealthCheckResult(home, "timeout"))
     cancels = [a for a in acts if isinstance(a, i.Cancel)]
     assert len(cancels) == 5 and stage.router.endpoints.backends[home].is_ejected
     assert attempts(stage.end(("r1", 0), "cancelled"))[0].backend != home
 
 
-def test_a_slow_origin_does_not_eject_caches_that_pass_health_checks_until_they_are_proved_silent() -> None:
-    # With the origin slow for 4 s, 40 proxies ejected 129 of 160 sound caches that they met seldom.
+def test_slow_origin_ejects_a_cache_that_passes_health_checks_only_after_many_overdue_attempts() -> None:
+    # Guards against the ejection of healthy caches that get few requests: with the origin slow for 4 s, 40 proxies
+    # ejected 129 of 160.
     stage = Stage()
     home = home_of(stage, "/a")
     for _ in range(2, 10):
@@ -75,10 +77,10 @@
         stage.ask("/a")
         for health_check in [a for a in stage.wait(1.0) if isinstance(a, i.HealthCheck)]:
             stage.give(i.HealthCheckResult(health_check.backend, "ok"))
-    assert stage.router.endpoints.backends[home].is_ejected  # it hangs, whatever its health checks say
+    assert stage.router.endpoints.backends[home].is_ejected  # it hangs, whatever its health checks show
 
 
-def test_failures_of_one_parent_through_several_caches_are_the_parents() -> None:
+def test_failures_of_one_parent_through_several_caches_eject_only_the_parent() -> None:
     stage = Stage(replace(SETTINGS, tells=""))
     for n in range(60):
         issued = attempts(stage.ask(f"/x{n}", name=f"n{n}"))[0]
@@ -88,7 +90,7 @@
     assert not any(stage.router.endpoints.backends[c].is_ejected for c in (*CACHES, "p1:80"))
 
 
-def test_when_all_parents_fail_alike_none_is_ejected() -> None:
+def test_no_parent_is_ejected_if_all_fail_alike() -> None:
     stage = Stage()
     for n in range(60):
         stage.ask(f"/x{n}", name=f"n{n}")
@@ -97,16 +99,18 @@
     assert not any(stage.router.endpoints.backends[p].is_ejected for p in PARENTS)
 
 
-def test_an_outlying_parent_is_found_by_its_fills_however_many_hits_name_it_as_source() -> None:
-    # Of 40 proxies 35 never ejected a parent that failed all its fills for 5 s: their hits spoke for it.
+def test_failing_parent_is_ejected_by_its_fills_however_many_hits_name_it_as_source() -> None:
+    # Guards against counting hits in favour of the source: 35 of 40 proxies never ejected a parent that failed all
+    # its fills for 5 s.
     stage = Stage(HITS_NOTED)
     fills_until_ejected(stage, set(), 40)
     found = fills_until_ejected(stage, {PARENTS[0]})
     assert list(found) == [PARENTS[0]] and found[PARENTS[0]] <= 6
 
 
-def test_where_both_parents_fail_and_the_origin_does_not_fills_come_from_the_origin() -> None:
-    # One erring, the other lost: 500 fills a second were sent to the lost one until the list named it gone.
+def test_fills_come_from_the_origin_if_both_parents_fail() -> None:
+    # Guards against a parent that returns errors beside one that is lost: 500 fills a second were sent to the lost
+    # one until the list reported it as gone.
     stage = Stage(HITS_NOTED)
     fills_until_ejected(stage, set(), 40)
     fills_until_ejected(stage, {PARENTS[0]})
@@ -117,59 +121,62 @@
     assert attempts(stage.ask("/z"))[0].source == ORIGIN
 
 
-@pytest.mark.parametrize(("back_for", "out"), [(0.5, False), (5.0, True)])
-def test_a_parent_back_from_its_fault_does_not_make_another_an_outlier(back_for: float, out: bool) -> None:
-    # Its record is new: what the other went through in the meantime is no fault of its own.
+@pytest.mark.parametrize(("back_for_s", "is_ejected_then"), [(0.5, False), (5.0, True)])
+def test_parent_just_back_in_service_does_not_make_its_peer_an_outlier(
+    back_for_s: float, is_ejected_then: bool
+) -> None:
+    # The returned parent has no failures from the time of the fault on record, but the other one has.
     router = Stage(HITS_NOTED).router
-    away, there = (router.endpoints.backends[p] for p in PARENTS)
+    returned_parent, serving_parent = (router.endpoints.backends[p] for p in PARENTS)
     router.endpoints.origin = None
-    router.health.eject(away)
+    router.health.eject(returned_parent)
     router.context.now += 4.0
-    router.health.restore(away)
-    router.context.now += back_for
-    away.successes.add(router.context.now, 10.0)
-    there.failures.add(router.context.now, 8.0)
-    router.health.record_failure(there)
-    assert there.is_ejected == out
+    router.health.restore(returned_parent)
+    router.context.now += back_for_s
+    returned_parent.successes.add(router.context.now, 10.0)
+    serving_parent.failures.add(router.context.now, 8.0)
+    router.health.record_failure(serving_parent)
+    assert serving_parent.is_ejected == is_ejected_then
 
 
-def test_a_cache_that_answers_with_errors_alone_is_ejected_until_its_trials_succeed() -> None:
+def test_cache_that_only_returns_errors_is_ejected_until_its_trials_succeed() -> None:
     stage = Stage(replace(SETTINGS, tells="hit"))
     stage.warm_up()
-    bad = stage.router.endpoints.backends[CACHES[0]]
-    assert answer_all(stage, {bad.name}, 100) <= 12 and bad.is_ejected
+    failing = stage.router.endpoints.backends[CACHES[0]]
+    assert answer_all(stage, {failing.name}, 100) <= 12 and failing.is_ejected
     assert not any(stage.router.endpoints.backends[c].is_ejected for c in CACHES[1:])
     stage.wait(1.0)
-    stage.give(i.HealthCheckResult(bad.name, "ok"))
-    for good in range(4):
-        assert bad.is_ejected and bad.trials_required == 4 - good  # one good answer may be chance
-        while not any(a.backend == bad.name for a in stage.in_flight.values()):
+    stage.give(i.HealthCheckResult(failing.name, "ok"))
+    for succeeded_trials in range(4):
+        # One successful answer may be chance.
+        assert failing.is_ejected and failing.trials_required == 4 - succeeded_trials
+        while not any(a.backend == failing.name for a in stage.in_flight.values()):
             stage.ask(f"/t{stage.count}")
         for key in list(stage.in_flight):
             stage.end(key, "ok")
-    assert not bad.is_ejected
+    assert not failing.is_ejected
 
 
-def test_when_all_caches_err_alike_none_is_ejected() -> None:
+def test_no_cache_is_ejected_if_all_return_errors_alike() -> None:
     stage = Stage(replace(SETTINGS, tells="hit"))
     stage.warm_up()
     answer_all(stage, set(CACHES), 60)
     assert not any(stage.router.endpoints.backends[c].is_ejected for c in CACHES)
 
 
-def test_broken_connections_do_not_eject_a_backend_that_answers_meanwhile() -> None:
+def test_reset_connections_do_not_eject_a_cache_that_still_answers() -> None:
     stage = Stage()
     home = home_of(stage, "/a")
     stage.end(("r1", 0), "ok", "hit")
     for n in range(10):
         stage.ask("/a", name=f"s{n}")
-        again = attempts(stage.end((f"s{n}", 0), "reset"))
-        assert [attempt.backend for attempt in again] == [home]  # the copy is at home
+        retries = attempts(stage.end((f"s{n}", 0), "reset"))
+        assert [attempt.backend for attempt in retries] == [home]  # the cache holds the copy
         stage.end((f"s{n}", 1), "ok", "hit")
     assert not stage.router.endpoints.backends[home].is_ejected
 
 
-def test_resets_alone_are_no_restart_that_calls_for_slow_start() -> None:
+def test_reset_connections_do_not_count_as_a_restart() -> None:
     stage = Stage()
     home = home_of(stage, "/a")
     stage.end(("r1", 0), "reset")
@@ -181,8 +188,8 @@
     )
 
 
-def test_when_all_caches_grow_slower_alike_none_is_ejected() -> None:
-    # Each goes on answering, later and later: nobody is silent, and the cause is shared.
+def test_no_cache_is_ejected_if_all_become_slower_alike() -> None:
+    # Each cache still answers, but later and later: none is silent, and the cause is shared.
     stage = Stage()
     for n in range(200):
         stage.ask(f"/x{n}", name=f"n{n}")
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,4 +1,4 @@
-"""When another attempt is made, and what a request that gets none is answered."""
+"""When another attempt is made, and the final answer of a request that gets none."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("result", ["error", "timeout", "reset", "cancelled"])
-def test_unsafe_that_may_have_run_is_failed_never_retried_or_rejected(result: str) -> None:
+def test_unsafe_request_that_may_have_run_is_failed_and_not_retried(result: str) -> None:
     stage = Stage()
     stage.ask(rule="order")
     new = stage.end(("r1", 0), result)
@@ -20,13 +20,13 @@
 
 
 @pytest.mark.parametrize("result", ["full", "connect_failed", "miss"])
-def test_unsafe_proven_not_executed_may_be_retried(result: str) -> None:
+def test_unsafe_request_that_was_not_executed_is_retried(result: str) -> None:
     stage = Stage()
     stage.ask(rule="order")
     assert len(attempts(stage.end(("r1", 0), result))) == 1
 
 
-def test_keyed_is_retried_only_within_its_window() -> None:
+def test_keyed_request_is_retried_only_within_its_repeat_window() -> None:
     stage = Stage()
     stage.ask(rule="report", left=3.0)
     stage.now += 0.2
@@ -37,14 +37,14 @@
 
 
 @pytest.mark.parametrize("group", ["zone", "cell", ""])
-def test_keyed_in_a_narrow_group_is_failed_when_it_may_have_run(group: str) -> None:
+def test_keyed_request_that_may_have_run_is_failed_if_not_all_backends_discard_repeats(group: str) -> None:
     rule = replace(SETTINGS.classes["report"], group=group)
     stage = Stage(replace(SETTINGS, classes={"report": rule}))
     stage.ask(rule="report")
     assert [type(a) for a in finals(stage.end(("r1", 0), "reset"))] == [i.Fail]
 
 
-def test_no_two_attempts_of_a_request_are_in_flight_together() -> None:
+def test_request_never_has_two_attempts_in_flight() -> None:
     stage = Stage(replace(SETTINGS, hedging=False))
     for n in range(20):
         stage.ask(f"/x{n}")
@@ -53,7 +53,7 @@
         assert max(Counter(name for name, _ in stage.in_flight).values()) == 1
 
 
-def test_a_long_wait_on_a_failed_fill_is_rejected_at_once_with_retry_after() -> None:
+def test_failed_fill_after_the_latency_objective_is_rejected_with_retry_after() -> None:
     stage = Stage()
     stage.ask("/a", "big")
     stage.now += 2.0
@@ -61,7 +61,7 @@
     assert isinstance(new[0], i.Refuse) and 0.0 < new[0].retry_after <= 1.0
 
 
-def test_a_short_wait_tries_another_source() -> None:
+def test_early_failed_fill_is_retried_at_another_source() -> None:
     stage = Stage()
     first = attempts(stage.ask("/a"))[0]
     second = attempts(stage.end(("r1", 0), "miss", "source_lost"))[0]
@@ -69,14 +69,14 @@
 
 
 @pytest.mark.parametrize(("result", "ended"), [("connect_failed", True), ("moot", True), ("reset", False)])
-def test_a_request_that_no_backend_has_seen_is_ended_before_half_of_its_time(result: str, ended: bool) -> None:
+def test_request_that_reached_no_backend_ends_before_half_of_its_time(result: str, ended: bool) -> None:
     stage = Stage()
     stage.ask("/a", left=2.0, name="r")
     stage.now += 0.95
     assert bool(finals(stage.end(("r", 0), result))) == ended
 
 
-def test_attempts_and_retries_are_bounded_when_everything_fails() -> None:
+def test_attempts_and_retries_are_bounded_if_all_attempts_fail() -> None:
     stage = Stage()
     for n in range(300):
         stage.ask(f"/x{n}", name=f"n{n}")
@@ -86,26 +86,27 @@
     assert sum(stage.attempt_counts.values()) <= 300 + 300 * 0.1 + 10
 
 
-@pytest.mark.parametrize(("result", "after"), [("reset", 0.001), ("reset", 0.3), ("error", 0.001)])
-def test_retries_that_are_served_use_up_no_budget(result: str, after: float) -> None:
-    # Resets or a bad cache that struck 15 of 100 attempts used up a budget of 10: the rest was rejected.
-    stage, struck = Stage(), 0
+@pytest.mark.parametrize(("result", "after_s"), [("reset", 0.001), ("reset", 0.3), ("error", 0.001)])
+def test_successful_retries_use_no_budget(result: str, after_s: float) -> None:
+    # Guards against a budget that successful retries use up: with resets or a bad cache at 15 of 100 attempts, a
+    # budget of 10 was spent and all further failures were rejected.
+    stage, failed_attempts = Stage(), 0
     for n in range(400):
         stage.now += 0.02
         stage.ask(f"/x{n}", name=f"n{n}")
-        stage.now += after
+        stage.now += after_s
         if n % 5 == 0:
-            struck += 1
+            failed_attempts += 1
             stage.end((f"n{n}", 0), result)
             for backend in stage.router.endpoints.backends.values():
                 backend.reset_health()
         for key in list(stage.in_flight):
             stage.end(key, "ok", "hit")
-    assert sum(count - 1 for count in stage.attempt_counts.values()) == struck
+    assert sum(count - 1 for count in stage.attempt_counts.values()) == failed_attempts
 
 
-# Guards against clients that are all told one instant, and return in one burst.
-def test_clients_are_told_to_return_at_different_moments() -> None:
+# Guards against clients that are all given the same time and return in one burst.
+def test_retry_after_differs_between_clients() -> None:
     stage = Stage()
     for backend in stage.router.endpoints.backends.values():
         stage.router.health.eject(backend)
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Whole runs of the router, and the shape of the decisions' modules."""
+"""Whole runs of the router, and limits on the size of the decision modules."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 @pytest.mark.parametrize(("rule", "left"), [("nobody", 3.0), ("big", 0.0), ("big", -1.0), ("order", 0.0)])
-def test_unknown_class_or_no_time_is_rejected_at_once(rule: str, left: float) -> None:
+def test_request_of_an_unknown_class_or_without_time_is_rejected_at_once(rule: str, left: float) -> None:
     new = Stage().ask(rule=rule, left=left)
     assert [type(a) for a in new] == [i.Refuse]
 
 
-def test_timeout_at_the_deadline_is_failed_or_rejected_once() -> None:
+def test_timeout_at_the_deadline_gives_one_final_answer() -> None:
     stage = Stage()
     stage.ask(left=0.5)
     stage.now += 0.5
@@ -50,18 +50,18 @@
         assert stage.give(event) == []
 
 
-def play(seed: int) -> list[str]:
-    """Randomly ordered events against the rules' invariants; returns every action as text."""
+def run_random_events(seed: int) -> list[str]:
+    """Send random events, check the invariants, and return all actions as text."""
     rng, stage = random.Random(seed), Stage(replace(SETTINGS, hedging=False))
     results = [*["ok"] * 6, "error", "full", "timeout", "connect_failed", "reset", "miss", "cancelled", "moot"]
     notes = ["", "hit", "filled", "source_refused", "source_lost", "no_place", "origin_failed"]
     ended: Counter[str] = Counter()
     deadline: dict[str, float] = {}
-    down: set[str] = set()
+    not_ready: set[str] = set()
     for n in range(1500):
         name, mark = f"q{n}", len(stage.actions)
-        dice = rng.random()
-        if dice < 0.45:
+        draw = rng.random()
+        if draw < 0.45:
             left = rng.choice([0.0, 0.3, 2.0, 6.0])
             deadline[name] = stage.now + left
             rule = rng.choice([*SETTINGS.classes, "odd"])
@@ -74,25 +74,25 @@
                 rng.choice([0.0, 40.0, 4000.0]),
                 name,
             )
-        elif dice < 0.85 and stage.in_flight:
+        elif draw < 0.85 and stage.in_flight:
             key = rng.choice(sorted(stage.in_flight))
             result = rng.choice(results) if stage.now < deadline[key[0]] else "timeout"
             before = ended[key[0]]
             stage.end(key, result, rng.choice(notes))
             ended[key[0]] += result == "ok" and not before
-        elif dice < 0.9:
+        elif draw < 0.9:
             stage.give(i.Purge(f"/x{rng.randrange(40)}", rng.randrange(4), rng.random()))
-        elif dice < 0.95:
-            what = rng.choice(["c0", "c1", "p0", "p1"])
+        elif draw < 0.95:
+            name_of_backend = rng.choice(["c0", "c1", "p0", "p1"])
             state = rng.choice(["ready", "draining", "gone"])
-            (down.discard if state == "ready" else down.add)(f"{what}:80")
-            change = entries(**{what: {"state": state, "started": rng.choice([0.0, stage.now])}})
-            stage.give(i.EndpointList("changes", tuple(e for e in change if e.backend == f"{what}:80")))
+            (not_ready.discard if state == "ready" else not_ready.add)(f"{name_of_backend}:80")
+            change = entries(**{name_of_backend: {"state": state, "started": rng.choice([0.0, stage.now])}})
+            stage.give(i.EndpointList("changes", tuple(e for e in change if e.backend == f"{name_of_backend}:80")))
         else:
             stage.wait(rng.random())
         for action in stage.actions[mark:]:
             if isinstance(action, i.Attempt):
-                assert not {action.backend, action.source} & down
+                assert not {action.backend, action.source} & not_ready
                 assert not ended[action.request] and 0.0 < action.timeout <= deadline[action.request] + 1e-9
                 assert sum(1 for key in stage.in_flight if key[0] == action.request) <= 1
             if isinstance(action, (i.Refuse, i.Fail)):
@@ -112,26 +112,26 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_order_follows_the_rules(seed: int) -> None:
-    play(seed)
+def test_random_events_keep_the_invariants(seed: int) -> None:
+    run_random_events(seed)
 
 
 def test_equal_events_give_equal_actions_under_any_hash_seed() -> None:
     code = (
         "import hashlib\n"
-        "from tests.routing.test_router import play\n"
-        "print(hashlib.sha256(repr(play(3)).encode()).hexdigest())\n"
+        "from tests.routing.test_router import run_random_events\n"
+        "print(hashlib.sha256(repr(run_random_events(3)).encode()).hexdigest())\n"
     )
-    seen = set()
+    digests = set()
     for hash_seed in ("0", "1", "77"):
         path = str(ROOT)
         env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": path}
-        done = subprocess.run([sys.executable, "-c", code], env=env, check=True, capture_output=True)
-        seen.add(done.stdout)
-    assert len(seen) == 1
+        process = subprocess.run([sys.executable, "-c", code], env=env, check=True, capture_output=True)
+        digests.add(process.stdout)
+    assert len(digests) == 1
 
 
-def test_empty_settings_never_raise() -> None:
+def test_empty_settings_do_not_raise() -> None:
     router = Router(i.Settings(), 1)
     router.handle(1.0, i.EndpointList("all", entries()))
     assert isinstance(router.handle(1.0, i.Request("r", "big", "/a", time_left=1.0))[0], i.Refuse)
@@ -141,14 +141,14 @@
         assert bare.handle(1.0, i.Request(f"r{n}", "x", f"/{n}", time_left=1.0))
 
 
-def test_each_module_stays_reviewable_and_all_that_decide_are_named_to_the_platform() -> None:
-    """The limit on all lines of the decisions together is withdrawn; each module by itself keeps to it."""
+def test_decision_modules_are_short_and_all_listed_in_the_deploy_policy() -> None:
+    """Check the line limits of each decision module; there is no limit on their total."""
     policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     for name in policy:
         lines = (ROOT / name).read_text().splitlines()
         assert sum(1 for line in lines if line.strip()) <= 300, name
         assert max(map(len, lines)) <= 110 and lines[0].startswith('"""'), name
-    others = {"__init__.py", "adapter.py", "interface.py"}  # names, wire and types
+    others = {"__init__.py", "adapter.py", "interface.py"}  # exports, wire format and types
     assert {Path(name).name for name in policy} == {
         p.name for p in (ROOT / "beechslip" / "routing").glob("*.py")
     } - others
--- a/tests/routing/test_size_fairness.py
+++ b/tests/routing/test_size_fairness.py
@@ -1,4 +1,4 @@
-"""What the largest requests of a class are guaranteed."""
+"""Guaranteed minimum shares of the largest requests of a class."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
     return OpenRequest(i.Request("r", name, time_left=6.0), CLASSES[name], 0.0, transfer_time)
 
 
-def test_bands_are_found_by_size_within_the_class() -> None:
+def test_size_bands_are_relative_to_the_class() -> None:
     bands = SizeBandClassifier()
     for n in range(100):
         bands.classify(request(1.0 + 0.01 * n))
         bands.classify(request(0.01 + 0.0001 * n, "small"))
-    found = []
+    bands_found = []
     for size, name in ((1.99, "big"), (1.8, "big"), (1.5, "big"), (0.0199, "small"), (0.011, "small")):
         bands.classify(one := request(size, name))
-        found.append(one.band)
-    largest, following, rest = SizeBand.LARGEST, SizeBand.NEXT_LARGEST, SizeBand.REST
-    assert found == [largest, following, rest, largest, rest]
+        bands_found.append(one.band)
+    largest, next_largest, rest = SizeBand.LARGEST, SizeBand.NEXT_LARGEST, SizeBand.REST
+    assert bands_found == [largest, next_largest, rest, largest, rest]
 
 
 @pytest.mark.parametrize("served_of_rest", [0.3, 0.6, 0.9, 1.0])
-def test_under_lasting_overload_each_band_is_accepted_its_part_of_the_class(served_of_rest: float) -> None:
+def test_each_band_gets_its_guaranteed_part_under_lasting_overload(served_of_rest: float) -> None:
     rng, shares = random.Random(2), GuaranteedShares()
     accepted: dict[SizeBand, list[bool]] = {band: [] for band in SizeBand}
     for _ in range(4000):
@@ -44,16 +44,16 @@
         one.band = rng.choices(tuple(SizeBand), (0.1, 0.2, 0.7))[0]
         by_density = one.band is SizeBand.REST and rng.random() < served_of_rest
         accepted[one.band].append(shares.decide(one, by_density))
-    whole = sum(map(sum, accepted.values())) / 4000
+    total_share = sum(map(sum, accepted.values())) / 4000
     for band in (SizeBand.LARGEST, SizeBand.NEXT_LARGEST):
         share = sum(accepted[band]) / len(accepted[band])
-        assert share >= 0.95 * GUARANTEED_FRACTION * whole
-    assert whole > 0.7 * served_of_rest
+        assert share >= 0.95 * GUARANTEED_FRACTION * total_share
+    assert total_share > 0.7 * served_of_rest
 
 
-def test_a_retry_finds_a_better_chance_than_its_first_try() -> None:
+def test_band_ahead_of_its_share_is_accepted_again_after_bounded_rejections() -> None:
     shares = GuaranteedShares()
-    for _ in range(50):  # all is well: the band runs ahead, up to its credit
+    for _ in range(50):  # without overload the band gets ahead of its share, up to its credit
         one = request(1.0)
         one.band = SizeBand.LARGEST
         shares.decide(one, True)
@@ -67,10 +67,10 @@
     assert MAX_CREDIT < tries <= 2 * (MAX_CREDIT + MAX_DEFICIT) / GUARANTEED_FRACTION
 
 
-def test_the_largest_are_not_all_rejected_while_the_caches_are_full() -> None:
+def test_largest_requests_are_not_all_rejected_while_the_caches_are_full() -> None:
     stage, rng = Stage(), random.Random(3)
     for backend in stage.router.endpoints.backends.values():
-        backend.link_capacity = 8.0  # reports tell the load
+        backend.link_capacity = 8.0  # the load is taken from reports
     for n in range(120):
         stage.ask(f"/x{n}", size=400.0)
     stage.now += 1.5
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what a warming backend is given, by one proxy and by a fleet."""
+"""Slow start: what a warming backend is sent by one proxy and by a fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(("backend", "fraction", "multiple"), [("c0", 0.2, 2.5), ("p0", 0.07, 2.0)])
-def test_a_backend_in_slow_start_gets_no_more_than_its_present_fraction(
+def test_backend_in_slow_start_gets_no_more_than_its_present_fraction(
     backend: str, fraction: float, multiple: float
 ) -> None:
     stage = Stage()
@@ -33,7 +33,7 @@
     assert any(f"{backend}:80" in (a.backend, a.source) for a in late)
 
 
-def test_a_fresh_instance_is_cautious_with_a_warming_cache_and_rejects_rather_than_overload_it() -> None:
+def test_new_instance_rejects_requests_rather_than_overload_warming_caches() -> None:
     listed = entries(**{f"c{n}": {"started": 999.9} for n in range(4)})
     stage = Stage(listed=listed)
     new = [a for n in range(200) for a in stage.ask(f"/x{n}")]
@@ -41,8 +41,8 @@
     assert all(isinstance(a, i.Refuse) for a in finals(new))
 
 
-def test_serving_small_requests_alone_does_not_raise_the_capacity_seen() -> None:
-    # With the large rejected, the class's mean overstates what a warm backend has served.
+def test_small_requests_alone_do_not_raise_the_observed_capacity() -> None:
+    # While large requests are rejected, the mean of the class overstates what a warm backend has served.
     stage = Stage()
     for n in range(400):
         stage.router.estimates.update_mean_transfer_time(SETTINGS.classes["big"], 1.0)
@@ -52,7 +52,7 @@
     assert stage.router.slow_start.observed_capacity["cache"] <= 0.01 / 0.05
 
 
-def test_a_stated_weight_caps_the_quota_of_a_warming_cache() -> None:
+def test_stated_weight_limits_the_quota_of_a_warming_cache() -> None:
     settings = replace(SETTINGS, weights="nominal", proxies_in_zone=2)
     listed = entries(**{f"c{n}": {"weight": 4.0, "started": 0.0 if n else 999.0} for n in range(4)})
     stage = Stage(settings, listed=listed)
@@ -61,7 +61,7 @@
     assert len(issued) * 0.1 <= (0.2 + 0.8 / 16) * 2.5 / 2 * 4.0 / 2 + 0.1
 
 
-def fleet(count: int, stated: int, listed: tuple[i.Endpoint, ...], now: float) -> list[Stage]:
+def stages_of_a_fleet(count: int, stated: int, listed: tuple[i.Endpoint, ...], now: float) -> list[Stage]:
     settings = replace(SETTINGS, proxies=stated, proxies_in_zone=stated, classes={"big": SETTINGS.classes["big"]})
     stages = [Stage(settings, now=now, listed=listed) for _ in range(count)]
     for number, stage in enumerate(stages):
@@ -70,21 +70,21 @@
 
 
 @pytest.mark.parametrize(
-    ("warming", "fraction", "warm", "multiple"),
+    ("warming", "fraction", "warm_up_s", "multiple"),
     [
         ("c0", 0.2, 16.0, 2.5),
         ("p0", 0.07, 19.0, 2.0),
     ],
 )
-def test_a_large_fleet_together_stays_within_the_capacity_of_a_warming_backend(
+def test_large_fleet_in_total_respects_the_capacity_of_a_warming_backend(
     warming: str,
     fraction: float,
-    warm: float,
+    warm_up_s: float,
     multiple: float,
 ) -> None:
-    # Floors for each proxy would add up: 120 fresh routers, each with more requests than it may send there.
-    # The link carries one transfer at full pace, the least that any backend can.
-    stages = fleet(120, 120, entries(**{warming: {"started": 1000.0}}), 1000.0)
+    # Guards against a minimum for each proxy, which would add up over the fleet: here 120 new routers each have more
+    # requests than they may send. The link carries one transfer at full speed, the least that any backend can.
+    stages = stages_of_a_fleet(120, 120, entries(**{warming: {"started": 1000.0}}), 1000.0)
     issued: list[tuple[float, float]] = []
     for step in range(40):
         now = 1000.0 + step * 0.1
@@ -95,13 +95,13 @@
                 issued += [(now, 0.3) for a in new if f"{warming}:80" in (a.backend, a.source)]
             stage.in_flight.clear()
     for start, _ in issued:
-        present = fraction + (1.0 - fraction) * (start - 1000.0) / warm
+        present = fraction + (1.0 - fraction) * (start - 1000.0) / warm_up_s
         assert sum(work for at, work in issued if start <= at < start + 1.0) <= multiple * present + 0.3
-    assert issued  # it is not starved either
+    assert issued  # it does get requests
 
 
-def test_a_warming_backend_is_not_starved_though_each_proxys_budget_is_below_one_request() -> None:
-    stages = fleet(100, 100, entries(c0={"started": 1000.0}), 1000.0)
+def test_warming_backend_gets_requests_even_if_the_budget_of_each_proxy_is_below_one() -> None:
+    stages = stages_of_a_fleet(100, 100, entries(c0={"started": 1000.0}), 1000.0)
     served = 0
     for step in range(160):
         for number, stage in enumerate(stages):
@@ -113,19 +113,19 @@
 
 
 @pytest.mark.parametrize("stated", [0, -5, 10**9])
-def test_absent_or_absurd_counts_of_proxies_fall_to_the_cautious_side(stated: int) -> None:
-    stage = fleet(1, stated, entries(c0={"started": 1000.0}), 1000.0)[0]
+def test_invalid_or_huge_proxy_counts_give_a_cautious_quota(stated: int) -> None:
+    stage = stages_of_a_fleet(1, stated, entries(c0={"started": 1000.0}), 1000.0)[0]
     issued = [a for n in range(100) for a in attempts(stage.ask(f"/x{n}")) if a.backend == "c0:80"]
     assert len(issued) <= 1
 
 
-def test_a_start_in_the_future_counts_as_slow_start() -> None:
+def test_start_time_in_the_future_counts_as_slow_start() -> None:
     stage = Stage(listed=entries(c0={"started": 5000.0}))
     issued = [a for n in range(200) for a in attempts(stage.ask(f"/x{n}")) if a.backend == "c0:80"]
     assert len(issued) <= 3
 
 
-def test_a_lost_parents_objects_do_not_overload_another_in_slow_start() -> None:
+def test_objects_of_a_lost_parent_do_not_overload_another_in_slow_start() -> None:
     stage = Stage()
     stage.warm_up()
     stage.give(i.EndpointList("changes", entries(p0={"state": "gone"}, p1={"started": stage.now})))
@@ -134,8 +134,8 @@
     assert sources[ORIGIN] > sources["p1:80"]
 
 
-def test_a_rack_that_restarts_at_once_moves_no_home_twice() -> None:
-    # Caches in slow start get their objects back one by one as they warm up; an object that is back stays.
+def test_simultaneous_restart_of_caches_moves_no_object_more_than_twice() -> None:
+    # Caches in slow start get their objects back one by one as they warm up, and an object that is back stays.
     stage = Stage()
     stage.warm_up()
     stage.give(i.EndpointList("changes", entries(c0={"started": stage.now}, c1={"started": stage.now})))
@@ -150,4 +150,4 @@
                 homes[f"/x{n}"] = attempt.backend
             for key in list(stage.in_flight):
                 stage.end(key, "ok", "hit")
-    assert max(moves.values()) <= 2  # at most over the other warming cache, and home
+    assert max(moves.values()) <= 2  # at most by way of the other warming cache, and then home
--- a/tests/routing/test_time_left.py
+++ b/tests/routing/test_time_left.py
@@ -1,4 +1,4 @@
-"""Requests whose bytes can't be sent in the time that their client has left."""
+"""Requests whose transfer takes longer than the time that their client has left."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from tests.helpers import SETTINGS, Stage, attempts, finals
 
 
-# Guards against transfers that can't end in their client's time, and take a link from those that can.
+# Guards against transfers that cannot end in time and take link capacity from those that can.
 @pytest.mark.parametrize(
     ("size", "left", "changes", "sent"),
     [
-        (4000.0, 0.9, {}, False),  # a second at full pace
+        (4000.0, 0.9, {}, False),  # takes one second at full speed
         (4000.0, 1.2, {}, True),
-        (0.0, 0.9, {}, True),  # a size that is not told
-        (4000.0, 0.9, {"conditional": True}, True),  # perhaps no bytes
+        (0.0, 0.9, {}, True),  # the size is not stated
+        (4000.0, 0.9, {"conditional": True}, True),  # may need no bytes
         (4000.0, 0.9, {"class_name": "order"}, True),
     ],
 )
-def test_a_request_that_can_not_be_sent_in_time_is_rejected_at_once(
+def test_request_whose_transfer_exceeds_the_time_left_is_rejected_at_once(
     size: float, left: float, changes: dict[str, Any], sent: bool
 ) -> None:
     stage = Stage()
@@ -32,13 +32,13 @@
     assert [action.reason for action in finals(actions)] == ([] if sent else ["deadline"])
 
 
-def test_a_request_has_no_further_attempt_that_can_not_be_sent_in_time() -> None:
+def test_request_is_not_retried_if_its_transfer_exceeds_the_time_left() -> None:
     stage = Stage()
     stage.ask("/a", size=4000.0, left=2.0)
     stage.now += 1.0
     assert [type(action) for action in finals(stage.end(("r1", 0), "full"))] == [i.Refuse]
 
 
-def test_without_a_known_pace_every_size_is_sent() -> None:
+def test_request_of_any_size_is_sent_if_the_transfer_rate_is_unknown() -> None:
     stage = Stage(replace(SETTINGS, flow_kb_s=0.0))
     assert attempts(stage.ask("/a", size=4000.0, left=0.9))
