--- a/tests/routing/test_overdue.py
+++ b/tests/routing/test_overdue.py
@@ -19,8 +19,8 @@
 def test_attempt_is_not_cancelled_if_its_retry_would_take_the_same_route() -> None:
     # Guards against attempts that were cancelled and sent to the same cache again, three times: it was the only warm
     # cache of a zone and was ejected, with its trial in flight.
-    listed = tuple(e for e in entries() if e.backend in (CACHES[0], PARENTS[0], ORIGIN))
-    stage = Stage(replace(HITS_NOTED, can_health_check=True), listed=listed)
+    one_of_each = tuple(e for e in entries() if e.backend in (CACHES[0], PARENTS[0], ORIGIN))
+    stage = Stage(replace(HITS_NOTED, can_health_check=True), listed=one_of_each)
     stage.router.health.eject(stage.router.endpoints.backends[CACHES[0]])
     assert len(attempts(stage.ask("/a"))) == 1
     assert not [a for a in stage.wait(1.0) if isinstance(a, i.Cancel)]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire, end to end in a process of its own, on an exchange written for the test."""
+"""The simulator's adapter in a process of its own, on message exchanges written for these tests."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 TURN = {"event_type": "YOUR_TURN"}
 
 
-def drive(messages: list[Any]) -> subprocess.CompletedProcess[str]:
+def run_adapter(messages: list[Any]) -> subprocess.CompletedProcess[str]:
     text = "".join((m if isinstance(m, str) else json.dumps(m)) + "\n" for m in messages)
     return subprocess.run(
         [sys.executable, "-m", "beechslip.routing.adapter"],
@@ -68,9 +68,9 @@
     )
 
 
-def replies(done: subprocess.CompletedProcess[str]) -> list[list[dict[str, Any]]]:
+def reply_batches(process: subprocess.CompletedProcess[str]) -> list[list[dict[str, Any]]]:
     batches: list[list[dict[str, Any]]] = [[]]
-    for line in done.stdout.splitlines():
+    for line in process.stdout.splitlines():
         if json.loads(line)["event_type"] == "END":
             batches.append([])
         else:
@@ -78,7 +78,7 @@
     return batches[:-1]
 
 
-def call(txn: str = "t1", proxy: int = 1, qos: str = "page") -> dict[str, Any]:
+def call_message(txn: str = "t1", proxy: int = 1, qos: str = "page") -> dict[str, Any]:
     return {
         "event_type": "CALL",
         "proxy": proxy,
@@ -92,11 +92,11 @@
     }
 
 
-def test_a_short_exchange() -> None:
-    done = drive(
+def test_adapter_answers_a_short_exchange() -> None:
+    process = run_adapter(
         [
             *START,
-            call(),
+            call_message(),
             TURN,
             {"event_type": "SYNC", "ts": 10.1},
             {
@@ -111,7 +111,7 @@
                 "pressure": {"active": 3, "odd": "x"},
             },
             {"event_type": "EXPIRED_NOW", "proxy": 1, "file": 0, "setNo": 3, "copyAge": 0.085},
-            call("t2"),
+            call_message("t2"),
             TURN,
             {"event_type": "SYNC", "ts": 10.2},
             {"event_type": "GONE", "proxy": 1, "txn": "t2"},
@@ -121,8 +121,8 @@
             TURN,
         ]
     )
-    assert done.returncode == 0 and done.stderr == ""
-    first, second, third, last = replies(done)
+    assert process.returncode == 0 and process.stderr == ""
+    first, second, third, last = reply_batches(process)
     get = first[0]
     assert get == {
         "event_type": "GET",
@@ -140,20 +140,20 @@
     assert third == [] and last == []
 
 
-def test_list_numbers_are_reused_in_order_and_instances_are_apart() -> None:
+def test_list_numbers_can_be_reused_and_instances_are_independent() -> None:
     other = [dict(MEMBERS[0], store="b:1"), *MEMBERS[1:]]
-    done = drive(
+    process = run_adapter(
         [
             *START,
             {"event_type": "LIST", "bank": 0, "membersList": other},
             {"event_type": "LAUNCH", "proxy": 2, "seed": 6, "config": CONFIG},
             {"event_type": "PEERS_KNOWN", "proxy": 2, "kind": "remembered", "seqNo": 1, "bank": 0},
-            call("t1", 1),
-            call("t2", 2),
+            call_message("t1", 1),
+            call_message("t2", 2),
             TURN,
         ]
     )
-    gets = [a for a in replies(done)[0] if a["event_type"] == "GET"]
+    gets = [a for a in reply_batches(process)[0] if a["event_type"] == "GET"]
     assert [(a["proxy"], a["store"]) for a in gets] == [(1, "a:1"), (2, "b:1")]
 
 
@@ -175,31 +175,31 @@
         ({"event_type": "PROBE_DONE", "proxy": 1, "store": "a:1", "stateCode": "maybe"}, "maybe"),
     ],
 )
-def test_malformed_input_is_named_on_standard_error_alone(message: Any, word: str) -> None:
-    done = drive([*START, TURN, message, TURN])
-    assert done.returncode != 0 and word in done.stderr and "Traceback" not in done.stderr
-    assert [a["event_type"] for batch in replies(done) for a in batch] == []
-    assert len(done.stdout.splitlines()) == 1
+def test_malformed_input_is_reported_only_on_standard_error(message: Any, word: str) -> None:
+    process = run_adapter([*START, TURN, message, TURN])
+    assert process.returncode != 0 and word in process.stderr and "Traceback" not in process.stderr
+    assert [a["event_type"] for batch in reply_batches(process) for a in batch] == []
+    assert len(process.stdout.splitlines()) == 1
 
 
-def test_end_of_input_is_quiet() -> None:
-    assert (drive([]).returncode, drive(START).stdout) == (0, "")
+def test_end_of_input_gives_exit_status_0_and_no_output() -> None:
+    assert (run_adapter([]).returncode, run_adapter(START).stdout) == (0, "")
 
 
-def test_a_bug_in_the_module_is_reported_on_the_wire() -> None:
+def test_exception_in_the_router_is_reported_as_a_fatal_message() -> None:
     code = (
         "import beechslip.routing.adapter as a\n"
         "def broken(*_): raise IndexError('out of reach')\n"
         "a.Router.handle = broken\na.main()\n"
     )
     text = "".join(json.dumps(m) + "\n" for m in [*START, TURN])
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", code], input=text, capture_output=True, text=True, cwd=ROOT, check=True
     )
-    assert replies(done)[0] == [{"event_type": "FATAL", "proxy": 1, "bodyText": "IndexError: out of reach"}]
+    assert reply_batches(process)[0] == [{"event_type": "FATAL", "proxy": 1, "bodyText": "IndexError: out of reach"}]
 
 
-def test_the_readme_example_runs() -> None:
+def test_readme_example_runs() -> None:
     code = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)[0]
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
-    assert done.stdout == "10.0.0.1:80 fills from 10.0.1.1:80 joined\n"
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
+    assert process.stdout == "10.0.0.1:80 fills from 10.0.1.1:80 joined\n"
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,7 +1,7 @@
-"""Every table of the module keyed by request, copy, class or backend has a bound or an end.
+"""Every table of the router that is keyed by request, copy, class or backend is bounded or is emptied.
 
-The soak day of the fleet test prices memory that grows over 45 minutes; these tests drive tens of
-thousands of distinct requests and copies through one router and look at the size of each table after.
+The soak day of the fleet test penalizes memory that grows over 45 minutes. These tests send many distinct requests
+and copies through one router, up to thousands in each, and check the size of the tables afterwards.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from beechslip.routing import interface as i
 
 
-def _serve(stage: Stage, count: int, size: float = 400.0, result: str = "ok") -> None:
-    """``count`` requests, each for a copy of its own, each attempt answered ``result`` 10 ms later."""
+def _serve_requests(stage: Stage, count: int, size: float = 400.0, result: str = "ok") -> None:
+    """Send ``count`` requests for distinct copies, and end each attempt with ``result`` 10 ms later."""
     for n in range(count):
         stage.ask(f"/copy{n}", size=size, group=n)
         while stage.in_flight:
@@ -23,32 +23,32 @@
         stage.wait(0.0)
 
 
-def test_tables_by_request_end_with_the_request() -> None:
+def test_tables_by_request_are_empty_after_all_requests_ended() -> None:
     stage = Stage()
-    _serve(stage, 3_000)
+    _serve_requests(stage, 3_000)
     router = stage.router
     assert not router.requests.open and not router.requests.in_flight
-    stage.wait(60.0)  # timers of ended attempts end when they come due
+    stage.wait(60.0)  # timers of ended attempts are removed when they fire
     assert not router.timers.pending
 
 
-def test_tables_by_request_end_also_when_every_attempt_fails() -> None:
+def test_tables_by_request_are_empty_after_every_attempt_failed() -> None:
     stage = Stage()
-    _serve(stage, 500, result="error")
+    _serve_requests(stage, 500, result="error")
     stage.wait(30.0)
     assert not stage.router.requests.open and not stage.router.requests.in_flight
 
 
-def test_remembered_sending_times_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_stored_transfer_times_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beechslip.routing.estimates.MAX_COPIES", 100)
     stage = Stage()
-    _serve(stage, 1_000, size=0.0)  # sizes not stated: the router learns each copy's sending time
+    _serve_requests(stage, 1_000, size=0.0)  # sizes not stated: the router stores the transfer time of each copy
     assert 0 < len(stage.router.estimates.copy_transfer_time) <= 100
 
 
-def test_tables_by_class_and_backend_stay_within_the_settings_and_the_list() -> None:
+def test_tables_by_class_and_backend_hold_only_known_classes_and_backends() -> None:
     stage = Stage()
-    _serve(stage, 1_000)
+    _serve_requests(stage, 1_000)
     for rule in ("small", "order", "big"):
         stage.ask("/x", rule=rule)
     router = stage.router
@@ -56,7 +56,7 @@
     assert set(router.estimates.overdue_factor) <= set(stage.router.context.settings.classes)
     listed = entries()
     assert set(router.endpoints.backends) == {entry.backend for entry in listed}
-    # A new list that drops backends drops their records.
+    # A full list removes the records of backends that it does not contain.
     stage.give(i.EndpointList("all", listed[:3]))
     assert set(router.endpoints.backends) == {entry.backend for entry in listed[:3]}
     assert all(a.backend in router.endpoints.backends for a in attempts(stage.ask("/y")))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""One test on real sockets for each rule that the proxy keeps whatever the module decides."""
+"""One test on real sockets for each rule that the proxy enforces whatever its router module decides."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     until,
 )
 
-MISS = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
+MISS_RESPONSE = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -38,10 +38,10 @@
 
 
 class ScriptedRouter:
-    """A module that sends each request where its plan says, one attempt after another, then fails it."""
+    """A router module that sends each request to the given backends, one after another, and then fails it."""
 
-    def __init__(self, *stores: str, source: str = "", cancel_on_timer: bool = False) -> None:
-        self.backend_names, self.source, self.left = stores, source, dict[str, list[str]]()
+    def __init__(self, *backend_names: str, source: str = "", cancel_on_timer: bool = False) -> None:
+        self.backend_names, self.source, self.remaining_backends = backend_names, source, dict[str, list[str]]()
         self.received_events: list[i.Event] = []
         self.cancel_on_timer = cancel_on_timer
 
@@ -51,24 +51,24 @@
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
         self.received_events.append(event)
         if isinstance(event, i.Request):
-            self.left[event.request] = list(self.backend_names)
+            self.remaining_backends[event.request] = list(self.backend_names)
             return self.next_actions(event.request, event.time_left)
         if isinstance(event, i.Outcome) and not event.finished:
             return self.next_actions(event.request, 1.0)
         return []
 
     def next_actions(self, request: str, wait: float) -> list[i.Action]:
-        left = self.left[request]
-        if not left:
+        remaining = self.remaining_backends[request]
+        if not remaining:
             return [i.Fail(request)]
-        store = left.pop(0)
-        return [i.Attempt(request, store, self.source or store, wait)]
+        backend = remaining.pop(0)
+        return [i.Attempt(request, backend, self.source or backend, wait)]
 
 
 @run
-async def test_bytes_tags_and_304s_are_carried_through() -> None:
-    same = b"HTTP/1.1 304 Not Modified\r\n" + COPY + b"X-Result: local\r\n\r\n"
-    async with Stand(*default_backends(OK, same)) as stand:
+async def test_bodies_entity_tags_and_304_responses_are_forwarded() -> None:
+    not_modified = b"HTTP/1.1 304 Not Modified\r\n" + COPY + b"X-Result: local\r\n\r\n"
+    async with Stand(*default_backends(OK, not_modified)) as stand:
         status, fields, body = await stand.ask()
         assert (status, fields["ETag"], body) == (200, '"4be0"', b"waves")
         status, fields, body = await stand.ask(If_None_Match='"4be0"')
@@ -79,7 +79,7 @@
 
 
 @run
-async def test_a_silent_backend_still_gives_one_final_answer_before_the_client_gives_up() -> None:
+async def test_silent_backend_gives_one_final_answer_before_the_client_deadline() -> None:
     async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         asked = stand.ask(wait_ms=2000)
         await until(lambda: stand.backends[0].seen)
@@ -89,31 +89,31 @@
 
 
 @run
-async def test_an_answer_just_before_the_client_gives_up_is_still_forwarded() -> None:
-    # A third of some days' clients wait little longer than the sending takes.
-    written = asyncio.Event()
+async def test_answer_just_before_the_client_deadline_is_forwarded() -> None:
+    # On some days a third of the clients wait little longer than the transfer takes.
+    may_answer = asyncio.Event()
 
-    class Slow(StandBackend):
+    class SlowBackend(StandBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
-            await written.wait()
+            await may_answer.wait()
             writer.write(OK)
 
-    async with Stand(Slow("a"), module=ScriptedRouter("a")) as stand:
+    async with Stand(SlowBackend("a"), module=ScriptedRouter("a")) as stand:
         asked = stand.ask(wait_ms=100)
         await until(lambda: stand.backends[0].seen)
         stand.clock.advance(90)
-        written.set()
+        may_answer.set()
         assert (await asked)[0] == 200
 
 
 @run
-async def test_a_module_that_never_answers_does_not_lose_the_request() -> None:
-    class Mute(ScriptedRouter):
+async def test_request_is_answered_if_the_router_module_returns_no_action() -> None:
+    class SilentRouter(ScriptedRouter):
         def next_actions(self, request: str, wait: float) -> list[i.Action]:
             return []
 
-    async with Stand(*default_backends(), module=Mute()) as stand:
+    async with Stand(*default_backends(), module=SilentRouter()) as stand:
         asked = stand.ask(wait_ms=2000)
         await until(lambda: stand.counters["taken"])
         stand.clock.advance(1999)
@@ -121,19 +121,19 @@
 
 
 @run
-async def test_a_module_that_raises_fails_the_request_and_not_the_program() -> None:
-    class Broken(ScriptedRouter):
+async def test_exception_in_the_router_module_fails_only_the_request() -> None:
+    class RaisingRouter(ScriptedRouter):
         def next_actions(self, request: str, wait: float) -> list[i.Action]:
             raise IndexError("out of reach")
 
-    async with Stand(*default_backends(), module=Broken()) as stand:
+    async with Stand(*default_backends(), module=RaisingRouter()) as stand:
         assert [(await stand.ask())[0], (await stand.ask())[0]] == [500, 500]
         assert stand.counters["fault.module"] == 2
 
 
 @run
-async def test_a_given_up_attempt_is_closed_before_the_next_one_starts() -> None:
-    # Guards against two attempts out at once: the first must be off the wire, not just forgotten.
+async def test_cancelled_attempt_is_closed_before_the_next_one_starts() -> None:
+    # Guards against two attempts at the same time: the connection of the first must be closed, not only dropped.
     backends = [StandBackend("a", HANG), StandBackend("b")]
     async with Stand(*backends, module=ScriptedRouter("a", "b")) as stand:
         asked = stand.ask()
@@ -145,55 +145,58 @@
 
 
 @run
-async def test_a_second_attempt_while_one_is_in_flight_is_not_started() -> None:
-    class Twice(ScriptedRouter):
+async def test_second_attempt_is_not_started_while_one_is_in_flight() -> None:
+    class DoubleAttemptRouter(ScriptedRouter):
         def next_actions(self, request: str, wait: float) -> list[i.Action]:
-            both = len(self.left[request]) == 2
+            both = len(self.remaining_backends[request]) == 2
             return super().next_actions(request, wait) + super().next_actions(request, wait) if both else []
 
-    async with Stand(*default_backends(), module=Twice("a", "b")) as stand:
+    async with Stand(*default_backends(), module=DoubleAttemptRouter("a", "b")) as stand:
         assert (await stand.ask())[0] == 200
         assert [len(backend.seen) for backend in stand.backends[:2]] == [1, 0]
         assert stand.counters["attempt.moot"] == 1
 
 
 @run
-async def test_no_more_attempts_than_permitted() -> None:
+async def test_number_of_attempts_is_limited() -> None:
     async with Stand(*default_backends(ERROR_RESPONSE), module=ScriptedRouter(*"abababababab")) as stand:
         assert (await stand.ask())[0] == 502
         assert sum(len(backend.seen) for backend in stand.backends) == 8
 
 
 @run
-async def test_an_attempt_stopped_before_its_first_step_still_ends() -> None:
-    # Its task runs none of its code then; unreported, the module would count it as out for good.
-    async with Stand(*default_backends(), module=(plan := ScriptedRouter("a"))) as stand:
+async def test_attempt_stopped_before_its_first_step_still_gives_an_outcome() -> None:
+    # The task of the attempt runs none of its code then. Without an outcome the router module would count the attempt
+    # as in flight forever.
+    async with Stand(*default_backends(), module=(router := ScriptedRouter("a"))) as stand:
         response_sink: Any = type("Sink", (), {"answer": staticmethod(lambda final: None), "departed": False})()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
         stand.engine.step(RequestReceived(call, stand.client, response_sink))
         stand.engine.step(ClientDisconnected("1", response_sink))
-        await until(lambda: any(isinstance(event, i.Outcome) for event in plan.received_events))
+        await until(lambda: any(isinstance(event, i.Outcome) for event in router.received_events))
         assert not stand.engine._attempts.in_flight and not stand.backends[0].seen
 
 
 @run
-@pytest.mark.parametrize("drained", ["a", "hub"])
-async def test_nothing_new_goes_to_or_through_a_draining_backend(drained: str) -> None:
-    # The drain arrives after the module has chosen and before the first byte: dialling takes time.
-    plan = ScriptedRouter("a", source="hub")
-    async with Stand(*default_backends(), module=plan) as stand:
+@pytest.mark.parametrize("draining_name", ["a", "hub"])
+async def test_no_attempt_goes_to_or_through_a_draining_backend(draining_name: str) -> None:
+    # The notice arrives after the router module has chosen and before the first byte is sent: connecting takes time.
+    router = ScriptedRouter("a", source="hub")
+    async with Stand(*default_backends(), module=router) as stand:
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
         response_sink: Any = type("Sink", (), {"answer": staticmethod(final.set_result), "departed": False})()
         stand.engine.step(RequestReceived(call, stand.client, response_sink))
-        leaving = next(backend for backend in stand.backends if backend.name == drained).entry("draining")
-        stand.engine.step(EndpointListUpdate("changes", (leaving,)))
+        draining_entry = next(backend for backend in stand.backends if backend.name == draining_name).entry(
+            "draining"
+        )
+        stand.engine.step(EndpointListUpdate("changes", (draining_entry,)))
         assert (await final).kind == "failed"
         assert not any(backend.seen for backend in stand.backends) and stand.counters["attempt.moot"] == 1
 
 
 @run
-async def test_purges_and_drain_notices_overtake_queued_requests() -> None:
+async def test_purges_and_drain_notices_are_handled_before_queued_requests() -> None:
     async with Stand(*default_backends()) as stand:
         home, other = stand.home()
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
@@ -204,21 +207,21 @@
         stand.engine.post(EndpointListUpdate("changes", (home.entry("draining"),)))
         assert (await final).kind == "served"
         assert not home.seen and 1 <= int(other.seen[0][1]["X-Age-Cap"]) <= 200
-        assert stand.counters["sent"] == 1  # the updates came first: no attempt had to be held back
+        assert stand.counters["sent"] == 1  # the updates were handled first: no attempt had to be stopped
 
 
 @run
-async def test_the_age_of_a_purge_is_taken_when_the_module_gets_it() -> None:
-    plan = ScriptedRouter()
-    async with Stand(*default_backends(), module=plan) as stand:
+async def test_purge_age_is_computed_when_the_router_module_gets_it() -> None:
+    router = ScriptedRouter()
+    async with Stand(*default_backends(), module=router) as stand:
         stand.engine.post(PurgeReceived("7f3a", 0, stand.clock.now_ms() - 100))
         stand.clock.advance(400)
-        await until(lambda: any(isinstance(event, i.Purge) for event in plan.received_events))
-        assert plan.received_events[-1] == i.Purge("7f3a", 0, 0.5)
+        await until(lambda: any(isinstance(event, i.Purge) for event in router.received_events))
+        assert router.received_events[-1] == i.Purge("7f3a", 0, 0.5)
 
 
 @run
-async def test_a_write_goes_to_the_archive_once_with_its_key_and_body() -> None:
+async def test_write_goes_to_the_origin_once_with_its_key_and_body() -> None:
     async with Stand(*default_backends()) as stand:
         status, _, _ = await stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", Req_Token="5c0f")
         seen = [(backend.name, *message) for backend in stand.backends for message in backend.seen]
@@ -229,10 +232,10 @@
 
 
 @run
-async def test_a_keyed_repeat_is_not_written_after_its_window() -> None:
-    # A backend that discards repeats for 6 s would run one that comes later.
-    plan = ScriptedRouter("a", "b")
-    async with Stand(*default_backends(HANG), module=plan) as stand:
+async def test_keyed_request_is_not_repeated_after_its_window() -> None:
+    # A backend that discards repeats for 6 s would execute one that arrives later.
+    router = ScriptedRouter("a", "b")
+    async with Stand(*default_backends(HANG), module=router) as stand:
         stand.engine.settings.classes["pick-submit"] = replace(
             stand.engine.settings.classes["pick-submit"], window=0.5
         )
@@ -244,7 +247,7 @@
 
 
 @run
-async def test_a_flood_of_refusals_is_counted_completely_and_logged_in_part(caplog: pytest.LogCaptureFixture) -> None:
+async def test_many_failed_requests_are_all_counted_and_only_partly_logged(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", "beechslip.engine")
     async with Stand(module=ScriptedRouter()) as stand:
         for n in range(50):
@@ -258,7 +261,7 @@
 
 
 @run
-async def test_a_client_that_leaves_frees_its_attempt() -> None:
+async def test_departed_client_ends_its_attempt() -> None:
     async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         asked = stand.ask()
         await until(lambda: stand.backends[0].seen)
@@ -270,18 +273,18 @@
 
 
 @run
-async def test_a_refusal_carries_its_retry_after() -> None:
-    class Full(ScriptedRouter):
+async def test_rejection_carries_its_retry_after() -> None:
+    class RejectingRouter(ScriptedRouter):
         def next_actions(self, request: str, wait: float) -> list[i.Action]:
             return [i.Refuse(request, 0.25)]
 
-    async with Stand(*default_backends(), module=Full()) as stand:
+    async with Stand(*default_backends(), module=RejectingRouter()) as stand:
         status, fields, _ = await stand.ask()
         assert (status, fields["Srv-Wait-Ms"]) == (503, "250")
 
 
 @run
-async def test_an_id_that_is_open_already_is_not_taken_twice() -> None:
+async def test_request_with_the_id_of_an_open_one_is_rejected() -> None:
     async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         first = stand.ask(Req_Id="9b1f03aa5c7e2d41")
         await until(lambda: stand.backends[0].seen)
@@ -291,33 +294,33 @@
 
 @run
 @pytest.mark.parametrize("slow_start", [True, False])
-async def test_a_backend_in_slow_start_gets_no_more_than_its_allowance(slow_start: bool) -> None:
+async def test_backend_in_slow_start_gets_no_more_than_its_allowance(slow_start: bool) -> None:
     async with Stand(*default_backends(HANG)) as stand:
-        box, rules = stand.home()[0], stand.settings
-        # In 3 s it may be sent 2.5 times what it gives: as long as nothing is learned, 0.18 of one transfer.
-        most = (
-            rules.overload_multiple
-            * rules.slow_start_share
-            * rules.overload_window
-            / rules.classes["waveform"].latency_objective
+        box, site_settings = stand.home()[0], stand.settings
+        # In 3 s it may be sent 2.5 times its present capacity. Before anything is learned that is 0.18 of a transfer.
+        max_attempts = (
+            site_settings.overload_multiple
+            * site_settings.slow_start_share
+            * site_settings.overload_window
+            / site_settings.classes["waveform"].latency_objective
         )
         started_ms = stand.clock.now_ms() if slow_start else 0.0
         stand.engine.post(EndpointListUpdate("changes", (box.entry(started_ms=started_ms),)))
         asked = [stand.ask(target=f"/rpc/waveform/{n}") for n in range(20)]
         await until(lambda: sum(len(backend.seen) for backend in stand.backends) == len(asked))
-        assert (len(box.seen) <= most) == slow_start
+        assert (len(box.seen) <= max_attempts) == slow_start
         for task in asked:
             task.cancel()
 
 
-def test_the_set_clock_runs_alarms_in_order_as_it_passes_them() -> None:
-    clock, rang = ManualClock(0.0), list[tuple[str, float]]()
+def test_manual_clock_runs_callbacks_in_order_of_their_times() -> None:
+    clock, fired = ManualClock(0.0), list[tuple[str, float]]()
 
-    def bell(name: str) -> Callable[[], None]:
-        return lambda: rang.append((name, clock.now_ms()))
+    def alarm(name: str) -> Callable[[], None]:
+        return lambda: fired.append((name, clock.now_ms()))
 
-    clock.call_later(20, bell("late"))
-    clock.call_later(10, bell("early"))
-    clock.call_later(15, bell("off")).cancel()
+    clock.call_later(20, alarm("late"))
+    clock.call_later(10, alarm("early"))
+    clock.call_later(15, alarm("off")).cancel()
     clock.advance(30)
-    assert rang == [("early", 10.0), ("late", 20.0)] and clock.now_ms() == 30.0
+    assert fired == [("early", 10.0), ("late", 20.0)] and clock.now_ms() == 30.0
