--- a/beechslip/routing/adapter.py
+++ b/beechslip/routing/adapter.py
@@ -61,7 +61,7 @@
             router = Router(settings, seed)
             self.routers[proxy] = router
             actions = router.start(self.now)
-        except Exception as error:  # a bug in the decisions is reported on the wire with its text
+        except Exception as error:  # an exception in the router is reported on the wire with its text
             return [_fatal(proxy, error)]
         return [write_action(proxy, action) for action in actions]
 
@@ -75,7 +75,7 @@
             event = EVENT_READERS[event_type](message)
         try:
             actions = router.handle(self.now, event)
-        except Exception as error:  # a bug in the decisions is reported on the wire with its text
+        except Exception as error:  # an exception in the router is reported on the wire with its text
             return [_fatal(proxy, error)]
         return [write_action(proxy, action) for action in actions]
 
--- a/beechslip/routing/admission.py
+++ b/beechslip/routing/admission.py
@@ -8,13 +8,13 @@
 from collections import deque
 
 from beechslip.routing.concurrency import ConcurrencyLimits
-from beechslip.routing.context import CLOCK_GRAIN_S, RoutingContext
+from beechslip.routing.context import CLOCK_RESOLUTION_S, RoutingContext
 from beechslip.routing.size_fairness import GuaranteedShares, SizeBandClassifier
 from beechslip.routing.slow_start import SlowStartPolicy
 from beechslip.routing.state import Backend, OpenRequest
 
 SHEDDING_STARTS_AT = 0.5  # utilization above which the requests of the lowest density are rejected
-SHEDDING_COMPLETE_AT = 1.25  # utilization at which all requests are rejected
+SHEDDING_COMPLETE_AT = 1.25  # utilization at which all are, except for the guaranteed shares
 # Transfers in progress, as a multiple of those that the link carries at full speed. Above this ratio another
 # cache is faster.
 OVERLOADED_LINK_RATIO = 1.5
@@ -57,10 +57,12 @@
         mass purges. The cost is that a cached-only attempt for a missing copy is rejected at once.
         """
         fraction = self._limits.fill_throttle(source).fraction
-        by_density = fraction >= 1.0 or request.rule.write or self._density_rank(request) > 1.0 - fraction
+        is_accepted_by_density = (
+            fraction >= 1.0 or request.rule.write or self._density_rank(request) > 1.0 - fraction
+        )
         if request.is_fill_accepted is None:
-            request.is_fill_accepted = self._fill_shares.decide(request, by_density)
-        return by_density or request.is_fill_accepted
+            request.is_fill_accepted = self._fill_shares.decide(request, is_accepted_by_density)
+        return is_accepted_by_density or request.is_fill_accepted
 
     def admits(self, request: OpenRequest, usable: list[Backend]) -> bool:
         """Return whether the request's density is high enough for the utilization of its usable backends.
@@ -70,10 +72,10 @@
         """
         utilization = self.utilization(usable)
         threshold = (utilization - SHEDDING_STARTS_AT) / (SHEDDING_COMPLETE_AT - SHEDDING_STARTS_AT)
-        by_density = threshold <= 0.0 or self._density_rank(request) > threshold
+        is_accepted_by_density = threshold <= 0.0 or self._density_rank(request) > threshold
         if request.is_admitted is None:
-            request.is_admitted = self._admission_shares.decide(request, by_density)
-        return by_density or request.is_admitted
+            request.is_admitted = self._admission_shares.decide(request, is_accepted_by_density)
+        return is_accepted_by_density or request.is_admitted
 
     def utilization(self, backends: list[Backend]) -> float:
         """Return the utilization of ``backends`` as a fraction, where 1.0 means full.
@@ -115,8 +117,8 @@
         Small hits are on time at a transfer rate at which the largest never end. The cost is that congestion
         goes unnoticed where all hits are small.
         """
-        too_small = not request.event.size_kb or request.transfer_time < MIN_TIMED_HIT_S
-        if too_small or self._link_capacity(cache) > 0:
+        is_too_small = not request.event.size_kb or request.transfer_time < MIN_TIMED_HIT_S
+        if is_too_small or self._link_capacity(cache) > 0:
             return
         cache.hit_time_ratio += (
             elapsed / request.transfer_time - cache.hit_time_ratio
@@ -136,7 +138,7 @@
 
     def _density(self, request: OpenRequest) -> float:
         """Return the priority weight per second of transfer time."""
-        return (request.rule.priority_weight or 1.0) / max(request.transfer_time, CLOCK_GRAIN_S)
+        return (request.rule.priority_weight or 1.0) / max(request.transfer_time, CLOCK_RESOLUTION_S)
 
     def _density_rank(self, request: OpenRequest) -> float:
         """Return the fraction of recent requests whose density is no higher than this request's."""
--- a/beechslip/routing/cancellation.py
+++ b/beechslip/routing/cancellation.py
@@ -31,13 +31,13 @@
             return
         if not self._context.settings.can_cancel or not self._retries.may_attempt(request):
             return
-        ejected = [b for b in (attempt.cache, attempt.source) if b is not None and b.is_ejected]
-        request.avoided_backends += ejected[:1]
-        same_route = (
+        ejected_backends = [b for b in (attempt.cache, attempt.source) if b is not None and b.is_ejected]
+        request.avoided_backends += ejected_backends[:1]
+        is_same_route = (
             self._selector.choose_cache(request) is attempt.cache
             and self._selector.choose_source(request) is attempt.source
         )
-        if same_route and not request.is_answer_lost:
+        if is_same_route and not request.is_answer_lost:
             return  # there is no better route
         attempt.is_cancelling = True
         self._context.actions.append(i.Cancel(request.request_id, attempt.number))
--- a/beechslip/routing/concurrency.py
+++ b/beechslip/routing/concurrency.py
@@ -47,10 +47,11 @@
     ) -> None:
         """Adjust the fill throttles and the concurrency limits to an attempt's outcome.
 
-        Where notes tell hits from fills, hits count for the cache's limit and all other answers for the fill
-        throttle. Without notes an answer counts for both, each with its own tolerated fraction of late
-        answers. The cost is that without notes a slow source can reduce the limit for hits, and that with
-        notes a cache whose answers are all late is recognized only by its hits and its load reports.
+        An attempt sent directly to a parent counts for the parent's limit. At a cache, where notes tell hits
+        from fills, hits count for the cache's limit and other answers for the fill throttle. Without notes an
+        answer counts for both, each with its own tolerated fraction of late answers. The cost is that without
+        notes a slow source can reduce the limit for hits, and that with notes a cache whose answers are all
+        late is recognized only by its hits and its load reports.
         """
         cache = attempt.cache
         is_parent = cache in self._endpoints.parent_set
@@ -60,21 +61,21 @@
         objective = self._estimates.latency_objective(request)
         if result == "timeout" and outcome.elapsed <= objective / 2.0:
             return  # the client allowed little time, so the time-out says nothing about the load
-        late = result in ("full", "timeout") or (result == "ok" and outcome.elapsed > objective)
+        is_late = result in ("full", "timeout") or (result == "ok" and outcome.elapsed > objective)
         weight = self._relative_work(request)
         if is_parent:  # sent directly: without a limit, a zone without caches would crowd out all others
-            self._adjust_limit(cache, late, TOLERATED_LATE_FILLS, attempt.sent_at, weight)
+            self._adjust_limit(cache, is_late, TOLERATED_LATE_FILLS, attempt.sent_at, weight)
             return
-        self._record_fill_outcome(attempt, outcome, late, weight)
+        self._record_fill_outcome(attempt, outcome, is_late, weight)
         # Without a note "full" may be the source's answer; if the cache itself is full, its answers are late
         # too. A time-out carries no note and may have waited for a fill, so it does not count against a cache
         # whose hits are noted.
         are_notes_stated = self._context.settings.tells
-        is_without_explanation = (
+        is_unexplained = (
             not outcome.note and result != "full" and (attempt.source is None or not are_notes_stated)
         )
-        if outcome.note in ("hit", "no_place") or is_without_explanation:
-            self._adjust_limit(cache, late, TOLERATED_LATE_ANSWERS, attempt.sent_at, weight)
+        if outcome.note in ("hit", "no_place") or is_unexplained:
+            self._adjust_limit(cache, is_late, TOLERATED_LATE_ANSWERS, attempt.sent_at, weight)
 
     def record_late_fill(self, attempt: AttemptInFlight, request: OpenRequest) -> None:
         """Count a fill in flight that is already late.
@@ -87,13 +88,13 @@
         """Return the weight of an answer: its transfer time over the mean of its class."""
         return request.transfer_time / self._estimates.class_transfer_time(request.rule)
 
-    def _record_fill(self, attempt: AttemptInFlight, late: bool, tolerated: float, weight: float) -> None:
-        attempt.is_counted_late = late
+    def _record_fill(self, attempt: AttemptInFlight, is_late: bool, tolerated: float, weight: float) -> None:
+        attempt.is_counted_late = is_late
         throttle = self.fill_throttle(attempt.source)
-        throttle.record(self._context.now, late, tolerated, attempt.sent_at, weight)
+        throttle.record(self._context.now, is_late, tolerated, attempt.sent_at, weight)
 
     def _record_fill_outcome(
-        self, attempt: AttemptInFlight, outcome: i.Outcome, late: bool, weight: float
+        self, attempt: AttemptInFlight, outcome: i.Outcome, is_late: bool, weight: float
     ) -> None:
         source = attempt.source
         note = outcome.note
@@ -103,18 +104,18 @@
         tolerated = (
             TOLERATED_LATE_FILLS if self._context.settings.tells else TOLERATED_LATE_FILLS_WITHOUT_NOTES
         )
-        counts_as_late = late or is_failed_fill or outcome.report.get("link", 0.0) > MAX_FILLS_PER_LINK
+        counts_as_late = is_late or is_failed_fill or outcome.report.get("link", 0.0) > MAX_FILLS_PER_LINK
         if not (counts_as_late and attempt.is_counted_late):
             self._record_fill(attempt, counts_as_late, tolerated, weight)
         if source in self._endpoints.parent_set:
-            self._adjust_limit(source, late or is_failed_fill, tolerated, attempt.sent_at, weight)
+            self._adjust_limit(source, is_late or is_failed_fill, tolerated, attempt.sent_at, weight)
 
     def _adjust_limit(
-        self, backend: Backend, late: bool, tolerated: float, sent_at: float, weight: float
+        self, backend: Backend, is_late: bool, tolerated: float, sent_at: float, weight: float
     ) -> None:
         """Cut the limit if too many answers are late; raise it on a timely one if half of it is in use."""
-        if backend.lateness.record(self._context.now, late, tolerated, sent_at, weight):
+        if backend.lateness.record(self._context.now, is_late, tolerated, sent_at, weight):
             used = min(backend.concurrency_limit, backend.in_flight + 1.0)
             backend.concurrency_limit = max(used * LIMIT_CUT_FACTOR, MIN_CONCURRENCY_LIMIT)
-        elif not late and backend.in_flight >= backend.concurrency_limit / 2.0:
+        elif not is_late and backend.in_flight >= backend.concurrency_limit / 2.0:
             backend.concurrency_limit += LIMIT_GROWTH * min(weight, 1.0) / backend.concurrency_limit
--- a/beechslip/routing/context.py
+++ b/beechslip/routing/context.py
@@ -6,7 +6,7 @@
 
 from beechslip.routing import interface as i
 
-CLOCK_GRAIN_S = 1e-6  # s; age limits are not rounded below it, because an age of 0 means "no limit"
+CLOCK_RESOLUTION_S = 1e-6  # s; age limits are not rounded below it, because 0 would mean "no limit"
 
 
 class RoutingContext:
--- a/beechslip/routing/dispatch.py
+++ b/beechslip/routing/dispatch.py
@@ -86,8 +86,8 @@
                 attempt.sent_at if first is None else min(first, attempt.sent_at)
             )
         request.has_reached_backend = request.has_reached_backend or outcome.result not in NEVER_SENT_RESULTS
-        fill_failed = self._outcomes.avoid_failed_backend(request, attempt, outcome)
-        if not self._retries.may_retry(request, fill_failed):
+        has_fill_failed = self._outcomes.avoid_failed_backend(request, attempt, outcome)
+        if not self._retries.may_retry(request, has_fill_failed):
             self._serve_stale_or_end(request, self._no_retry_reason(request, outcome))
             return
         self._retries.spend_retry()
--- a/beechslip/routing/endpoints.py
+++ b/beechslip/routing/endpoints.py
@@ -112,5 +112,5 @@
         The stated capacity of a cache counts. Parents have equal weights, because a parent with a wide link
         would otherwise get too many objects.
         """
-        stated = backend.entry.weight > 0 and backend in self.cache_set
-        return backend.entry.weight if self._context.weights_are_capacities and stated else 1.0
+        has_stated_capacity = backend.entry.weight > 0 and backend in self.cache_set
+        return backend.entry.weight if self._context.weights_are_capacities and has_stated_capacity else 1.0
--- a/beechslip/routing/estimates.py
+++ b/beechslip/routing/estimates.py
@@ -24,9 +24,8 @@
         """Start without any observation."""
         self._context = context
         self.mean_transfer_time: dict[str, float] = {}  # s, by class
-        self.copy_transfer_time: dict[
-            int, float
-        ] = {}  # s, by copy: its fastest answer, where sizes are not stated
+        # s, by copy: its fastest answer, where sizes are not stated.
+        self.copy_transfer_time: dict[int, float] = {}
         self.overdue_factor: dict[str, float] = {}  # by class, multiples of half the latency objective
 
     def open_request(self, event: i.Request, rule: i.ClassRule) -> OpenRequest:
--- a/beechslip/routing/freshness.py
+++ b/beechslip/routing/freshness.py
@@ -9,11 +9,11 @@
 from collections import deque
 
 from beechslip.routing import interface as i
-from beechslip.routing.context import CLOCK_GRAIN_S, RoutingContext
+from beechslip.routing.context import CLOCK_RESOLUTION_S, RoutingContext
 from beechslip.routing.state import OpenRequest
 
 DEFAULT_PROPAGATION_S = 60.0  # s until a purge has reached every backend, if the site does not state it
-PROPAGATION_MARGIN_S = 1.0  # s, allows for a few more renewals
+PROPAGATION_MARGIN_S = 1.0  # s, leaves time for a few more renewals
 MAX_PURGES = 50_000  # older ones become one limit for all objects, which is safe but costs fills
 
 
@@ -39,7 +39,7 @@
         self.recent_purges.append((at, purge.object, purge.group))
         self.drop_old_purges(now, retention)
 
-    def last_purged_at(self, now: float, name: str, group: int, retention: float) -> float:
+    def last_purge_time(self, now: float, name: str, group: int, retention: float) -> float:
         """Return when an object was last purged, by itself, with its group or with all; -inf if never."""
         self.drop_old_purges(now, retention)
         return max(
@@ -55,11 +55,11 @@
         """
         while self.recent_purges:
             at, name, group = self.recent_purges[0]
-            old = at <= now - retention
-            if not old and len(self.recent_purges) <= MAX_PURGES:
+            is_old = at <= now - retention
+            if not is_old and len(self.recent_purges) <= MAX_PURGES:
                 return
             self.recent_purges.popleft()
-            if not old:
+            if not is_old:
                 self.all_purged_at = max(self.all_purged_at, at)
             if name and self.object_purge_times.get(name) == at:
                 del self.object_purge_times[name]
@@ -82,15 +82,16 @@
     def oldest_allowed(self, request: OpenRequest, limit: float) -> float:
         """Return the age limit of an attempt in seconds.
 
-        It is the smaller of ``limit`` (0: none) and the time since the last purge. A purge never gives 0.
+        It is the smaller of ``limit`` (0: none) and the time since the last purge. A limit that follows from
+        a purge is never 0, because that would mean no limit.
         """
         now = self._context.now
         retention = self._purge_retention()
         event = request.event
-        purged_at = self.purges.last_purged_at(now, event.object, event.group, retention)
+        purged_at = self.purges.last_purge_time(now, event.object, event.group, retention)
         if now - purged_at > retention:
             return limit
-        since_purge = max(math.floor((now - purged_at) / CLOCK_GRAIN_S - 1.0), 1.0) * CLOCK_GRAIN_S
+        since_purge = max(math.floor((now - purged_at) / CLOCK_RESOLUTION_S - 1.0), 1.0) * CLOCK_RESOLUTION_S
         return min(since_purge, limit) if limit else since_purge
 
     def _purge_retention(self) -> float:
--- a/beechslip/routing/health.py
+++ b/beechslip/routing/health.py
@@ -6,16 +6,14 @@
 
 from beechslip.routing import interface as i
 from beechslip.routing.cancellation import AttemptCancellation
-from beechslip.routing.context import CLOCK_GRAIN_S, RoutingContext
+from beechslip.routing.context import CLOCK_RESOLUTION_S, RoutingContext
 from beechslip.routing.endpoints import EndpointTable
 from beechslip.routing.state import Backend
 from beechslip.routing.tallies import DECAY_TIME_S
 from beechslip.routing.timers import HealthCheckDue, TimerTable
 
 MAX_CONNECTION_FAILURES = 2  # in a row that eject; one may be chance, a third would only cost another request
-RECENT_ANSWER_S = (
-    0.3  # s since its last answer for which a backend counts as running despite broken connections
-)
+RECENT_ANSWER_S = 0.3  # s after an answer in which a backend counts as running despite broken connections
 OVERDUE_PER_HEALTH_CHECK = 3  # overdue attempts in a row at a silent backend that cause a health check
 MAX_OVERDUE_WITH_CHECKS = 9  # overdue attempts in a row that eject, whatever the health checks show
 FIRST_EJECTION_S = 0.5  # s, duration of the first ejection; each further one lasts twice as long
@@ -49,7 +47,7 @@
         self._cancellation = cancellation
 
     def has_answered_recently(self, backend: Backend) -> bool:
-        """Return whether a backend has answered within the last ``RECENT_ANSWER_S``."""
+        """Return whether a backend has answered within the last ``RECENT_ANSWER_S`` seconds."""
         return self._context.now - backend.last_heard_at <= RECENT_ANSWER_S
 
     def record_answer(self, backend: Backend) -> None:
@@ -67,9 +65,8 @@
         if not is_trial and self.has_answered_recently(cache):
             return
         cache.consecutive_connection_failures += 1
-        cache.has_lost_connection = (
-            cache.has_lost_connection or is_refused
-        )  # a reset alone is no sign of a restart
+        # A reset alone is no sign of a restart.
+        cache.has_lost_connection = cache.has_lost_connection or is_refused
         if cache.consecutive_connection_failures >= MAX_CONNECTION_FAILURES or is_trial:
             self.eject(cache)
 
@@ -113,7 +110,7 @@
         backend = self._endpoints.backends.get(name)
         if backend is None or not backend.is_ejected or backend.has_passed_health_check:
             return
-        if self._context.now >= backend.ejected_until - CLOCK_GRAIN_S:
+        if self._context.now >= backend.ejected_until - CLOCK_RESOLUTION_S:
             self._context.actions.append(i.HealthCheck(name))
 
     def record_failure(self, backend: Backend) -> None:
--- a/beechslip/routing/outcomes.py
+++ b/beechslip/routing/outcomes.py
@@ -73,7 +73,7 @@
         result = outcome.result
         note = outcome.note
         cache = attempt.cache
-        fill_failed = note in FILL_FAULT_NOTES or (not note and result in POSSIBLE_SOURCE_FAULT_RESULTS)
+        has_fill_failed = note in FILL_FAULT_NOTES or (not note and result in POSSIBLE_SOURCE_FAULT_RESULTS)
         # A connection reset at a cache that still answers is no reason to avoid it: it holds the copy.
         is_connection_broken = result == "connect_failed" or (
             result == "reset" and not self._health.has_answered_recently(cache)
@@ -83,9 +83,9 @@
         is_rejected = result == "full" and note != "source_refused" and not is_link_free
         if is_connection_broken or is_rejected or note == "no_place":
             request.avoided_backends.append(cache)
-        elif fill_failed and attempt.source is not None:
+        elif has_fill_failed and attempt.source is not None:
             request.avoided_backends.append(attempt.source)
-        return fill_failed
+        return has_fill_failed
 
     def _record_for_cache(
         self,
--- a/beechslip/routing/overdue.py
+++ b/beechslip/routing/overdue.py
@@ -90,12 +90,13 @@
         """Record what the delay of an overdue attempt shows.
 
         The second check counts a late fill, and the third counts the answer as lost. The first check of a
-        repeated attempt counts for the cache as an answer that came: the repeat is late as well.
+        repeated attempt counts as an answer that came: if the repeat is overdue too, the first answer was
+        probably late and not lost.
         """
         now = self._context.now
         cache = attempt.cache
-        heard_since = cache.last_heard_at > attempt.sent_at
-        is_late_fill = attempt.overdue_checks == 2 and attempt.source is not None and heard_since
+        has_answered_since = cache.last_heard_at > attempt.sent_at
+        is_late_fill = attempt.overdue_checks == 2 and attempt.source is not None and has_answered_since
         if is_late_fill and self._context.settings.tells and not request.rule.write:
             # The second check takes place at the latency objective or later.
             self._limits.record_late_fill(attempt, request)
--- a/beechslip/routing/retries.py
+++ b/beechslip/routing/retries.py
@@ -58,11 +58,11 @@
         rule = request.rule
         if request.possibly_executed_since is None or rule.effect == "safe":
             return True
-        # A request that may have run is repeated only where all backends discard repeats, and only as long.
-        within_window = now - request.possibly_executed_since < rule.window - margin
-        return discards_repeats(rule) and within_window
+        # A request that may have run is repeated only if all backends discard repeats, and in the window.
+        is_within_window = now - request.possibly_executed_since < rule.window - margin
+        return discards_repeats(rule) and is_within_window
 
-    def may_retry(self, request: OpenRequest, fill_failed: bool) -> bool:
+    def may_retry(self, request: OpenRequest, has_fill_failed: bool) -> bool:
         """Return whether a failed attempt is followed by another one.
 
         Another attempt must be permitted and within the budget. None follows a cached-only attempt, a failed
@@ -76,7 +76,7 @@
             return False
         if not self.may_attempt(request) or not self.has_budget():
             return False
-        return not (fill_failed and elapsed > self._estimates.latency_objective(request))
+        return not (has_fill_failed and elapsed > self._estimates.latency_objective(request))
 
     def is_harmless_to_repeat(self, request: OpenRequest) -> bool:
         """Return whether the client may send the request again: it has not run, or may run twice."""
@@ -84,10 +84,10 @@
         return rule.effect == "safe" or discards_repeats(rule) or request.possibly_executed_since is None
 
     def retry_after(self) -> float:
-        """Return the seconds after which a rejected client may return; 0 where the site does not state them.
+        """Return the seconds after which a rejected client may return; 0 if rejections cannot state them.
 
-        The wait ends after the next trial of an ejected backend, and is spread randomly: if all clients were
-        given the same instant, they would all return at once.
+        Within the site's limit, the wait lasts until an ejection has ended, and it is spread randomly:
+        clients that are all given the same instant would all return at once.
         """
         settings = self._context.settings
         if not settings.retry_after:
--- a/beechslip/routing/selection.py
+++ b/beechslip/routing/selection.py
@@ -17,7 +17,7 @@
 from beechslip.routing.state import Backend, OpenRequest
 
 MAX_CACHES_CONSIDERED = 32  # usable caches that one decision considers at most
-CACHE_SAMPLE_SIZE = 16  # caches that represent a zone with more than that
+CACHE_SAMPLE_SIZE = 16  # caches that represent a zone with more than ``MAX_CACHES_CONSIDERED``
 
 
 class Route(NamedTuple):
@@ -63,8 +63,13 @@
         request.is_shed = not (request.rule.write or self._admission.admits(request, [source]))
         origin = self._endpoints.origin
         direct = None if request.is_shed else source
-        ready = origin is not None and origin.entry.state == "ready"
-        if source is not origin and origin and ready and self._slow_start.allows_attempt(origin, request):
+        is_origin_ready = origin is not None and origin.entry.state == "ready"
+        if (
+            source is not origin
+            and origin
+            and is_origin_ready
+            and self._slow_start.allows_attempt(origin, request)
+        ):
             source = origin
         return Route(direct, source)
 
@@ -103,8 +108,8 @@
             first_usable = first_usable or backend
             # The fills of an object can exceed one parent's link. Those that exceed the limits of all parents
             # must not overload the origin.
-            below_limit = backend.in_flight < backend.concurrency_limit
-            if below_limit and (backend is not origin or backend is first_usable):
+            is_below_limit = backend.in_flight < backend.concurrency_limit
+            if is_below_limit and (backend is not origin or backend is first_usable):
                 return backend
         if first_usable is not None:
             return first_usable
--- a/beechslip/routing/size_fairness.py
+++ b/beechslip/routing/size_fairness.py
@@ -48,15 +48,15 @@
         self._accepted_share: dict[str, float] = {}  # by class, of its recent requests
         self._deficit: dict[tuple[str, SizeBand], float] = {}
 
-    def decide(self, request: OpenRequest, by_density: bool) -> bool:
+    def decide(self, request: OpenRequest, is_accepted_by_density: bool) -> bool:
         """Return whether a request is accepted, by its density or because its band is owed one."""
         name = request.rule.name
         share = self._accepted_share.get(name, 1.0)
-        accepted = by_density
+        is_accepted = is_accepted_by_density
         if request.band is not SizeBand.REST:
             key = (name, request.band)
             deficit = self._deficit.get(key, 0.0) + GUARANTEED_FRACTION * share
-            accepted = by_density or deficit > 0.0
-            self._deficit[key] = min(max(deficit - accepted, -MAX_CREDIT), MAX_DEFICIT)
-        self._accepted_share[name] = share + (accepted - share) * SHARE_UPDATE_WEIGHT
-        return accepted
+            is_accepted = is_accepted_by_density or deficit > 0.0
+            self._deficit[key] = min(max(deficit - is_accepted, -MAX_CREDIT), MAX_DEFICIT)
+        self._accepted_share[name] = share + (is_accepted - share) * SHARE_UPDATE_WEIGHT
+        return is_accepted
--- a/beechslip/routing/state.py
+++ b/beechslip/routing/state.py
@@ -48,7 +48,7 @@
         self.reset_health()
 
     def reset_health(self) -> None:
-        """Forget all faults. Called at the start and after each restart that the endpoint list reports."""
+        """Forget all faults, as for a backend that has just started or has returned to service."""
         self.consecutive_connection_failures = 0
         self.consecutive_overdue = 0
         self.trials_required = 0
@@ -141,9 +141,8 @@
         self.arrived_at = now
         self.transfer_time = transfer_time
         name = event.object or event.request
-        self.copy_key = stable_hash(
-            f"{name}\n{event.part}"
-        )  # each part is a copy of its own, so parts are spread
+        # Each part is a copy of its own, so the parts of an object are spread over the caches.
+        self.copy_key = stable_hash(f"{name}\n{event.part}")
         self.source_key = stable_hash(name)  # one parent supplies all fills of an object
         self.deadline = now + event.time_left
         self.attempts = 0
@@ -154,7 +153,6 @@
         self.has_reached_backend = False
         self.is_shed = False  # rejected for load when a route was last chosen
         self.band = SizeBand.REST
-        self.is_admitted: bool | None = (
-            None  # first decision, which later attempts keep if True; None: none yet
-        )
+        # The first decision on admission, which later attempts keep if it is True; None: not decided yet.
+        self.is_admitted: bool | None = None
         self.is_fill_accepted: bool | None = None  # the same for its fill
--- a/beechslip/routing/tallies.py
+++ b/beechslip/routing/tallies.py
@@ -38,13 +38,15 @@
         self.timely = DecayingSum()
         self.cut_at = -math.inf
 
-    def record(self, now: float, late: bool, tolerated: float, sent_at: float, weight: float = 1.0) -> bool:
+    def record(
+        self, now: float, is_late: bool, tolerated: float, sent_at: float, weight: float = 1.0
+    ) -> bool:
         """Count an answer by its weight; return True if a limit is to be cut.
 
         That is so when more than the ``tolerated`` fraction is late and this late answer belongs to an
         attempt sent after the last cut: attempts that were in flight at the cut do not show its effect.
         """
-        if not late:
+        if not is_late:
             self.timely.add(now, weight)
             return False
         self.late.add(now, weight)
@@ -72,11 +74,13 @@
         self._updated_at = 0.0
         self._cut_factor = cut_factor
 
-    def record(self, now: float, late: bool, tolerated: float, sent_at: float, weight: float = 1.0) -> None:
+    def record(
+        self, now: float, is_late: bool, tolerated: float, sent_at: float, weight: float = 1.0
+    ) -> None:
         """Count a fill sent at ``sent_at``: too many late ones cut the fraction, timely ones raise it."""
-        if self.lateness.record(now, late, tolerated, sent_at, weight):
+        if self.lateness.record(now, is_late, tolerated, sent_at, weight):
             self.fraction = max(self.fraction * self._cut_factor, MIN_FILL_FRACTION)
-        elif not late:
+        elif not is_late:
             # The growth depends on time, not on the number of fills: a proxy of a large fleet sees few fills,
             # and its recovery would take minutes.
             elapsed = min(now - self._updated_at, 1.0)
--- a/beechslip/routing/timers.py
+++ b/beechslip/routing/timers.py
@@ -6,7 +6,7 @@
 from typing import TypeAlias
 
 from beechslip.routing import interface as i
-from beechslip.routing.context import CLOCK_GRAIN_S, RoutingContext
+from beechslip.routing.context import CLOCK_RESOLUTION_S, RoutingContext
 from beechslip.routing.state import AttemptKey
 
 
@@ -36,10 +36,10 @@
         self._last_token = 0
 
     def start(self, delay: float, purpose: TimerPurpose) -> None:
-        """Request a ``Timer`` event in ``delay`` seconds, or in ``CLOCK_GRAIN_S`` if that is longer."""
+        """Request a ``Timer`` event in ``delay`` seconds, or in ``CLOCK_RESOLUTION_S`` if that is longer."""
         self._last_token += 1
         self.pending[self._last_token] = purpose
-        self._context.actions.append(i.SetTimer(max(delay, CLOCK_GRAIN_S), self._last_token))
+        self._context.actions.append(i.SetTimer(max(delay, CLOCK_RESOLUTION_S), self._last_token))
 
     def take(self, token: int) -> TimerPurpose | None:
         """Remove a timer that fires and return its purpose, or ``None`` for an unknown token."""
