--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -19,7 +19,7 @@
 from lab.stand import HANG, OK, Stand, StandBackend, run, until
 from tests.test_budgets import FakeLeaseView
 from tests.test_dns import ZONE, DnsStand, box, objects_homed_in
-from tests.test_rules import Plan as AlwaysPlan
+from tests.test_rules import ScriptedRouter as AlwaysPlan
 
 
 def attach_budgets(stand: Any, has_posted_quotas: bool = True, fill_ms: float = 0.0, **amounts: float) -> BudgetPart:
