--- a/beechslip/budgets/health_check.py
+++ b/beechslip/budgets/health_check.py
@@ -18,7 +18,7 @@
         """Check ``backend``, if ``may_start`` allows the first byte."""
         ...
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Go by another endpoint list."""
         ...
 
@@ -39,9 +39,9 @@
         self._inner = inner
         self._gate = gate
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Go by another endpoint list."""
-        self._inner.follow(backends)
+        self._inner.update_backends(backends)
 
     async def health_check(self, backend: Backend) -> AttemptResult:
         """The result of a check of ``backend``, made once a token is there."""
--- a/beechslip/budgets/part.py
+++ b/beechslip/budgets/part.py
@@ -117,9 +117,9 @@
 
     # What it goes by ---------------------------------------------------------------------------------------
 
-    def follow(self, backends: Iterable[Backend]) -> None:
+    def update_backends(self, backends: Iterable[Backend]) -> None:
         """Go by another endpoint list; the quotas are posted at the next tick."""
-        self.plan.follow(backends)
+        self.plan.update_backends(backends)
         self._posted_ms = -math.inf
 
     def retune(self, settings: Settings) -> None:
@@ -189,7 +189,7 @@
         self._confirm_scheduled = False
         self.node.confirm(self._clock.steady_ms())
 
-    def longest_ms(self, *backends: str) -> float:
+    def max_attempt_duration_ms(self, *backends: str) -> float:
         """How long an attempt to or through ``backends`` may last: fills end by ``fill_ms``, as their quotas count
         them no longer."""
         for name in backends:
@@ -206,13 +206,13 @@
             return False
         in_flight = [cost.limit for cost in costs if cost.limit.startswith(_FILLS_PREFIX)]
         if in_flight or again:
-            self._allowed_attempts[order.call.id, order.number] = _AllowedAttempt(in_flight, again)
+            self._allowed_attempts[order.client_request.id, order.number] = _AllowedAttempt(in_flight, again)
         return True
 
-    def ended(self, order: AttemptRequest, ended: AttemptResult) -> None:
+    def attempt_ended(self, order: AttemptRequest, ended: AttemptResult) -> None:
         """An attempt that was allowed has ended."""
         now_ms = self._clock.steady_ms()
-        allowed = self._allowed_attempts.pop((order.call.id, order.number), _NOTHING_SPENT)
+        allowed = self._allowed_attempts.pop((order.client_request.id, order.number), _NOTHING_SPENT)
         for name in allowed.in_flight:
             self.node.release(now_ms, name, ended.result in ENDED_BY_BACKEND)
         if allowed.is_retry and ended.result in SERVED:
--- a/beechslip/budgets/plan.py
+++ b/beechslip/budgets/plan.py
@@ -73,7 +73,7 @@
         deadlines_s = (rule.deadline or NO_DEADLINE_S for rule in settings.classes.values())
         self.longest_s = max(self.longest_s, *deadlines_s, MIN_LONGEST_S)
 
-    def follow(self, backends: Iterable[Backend]) -> None:
+    def update_backends(self, backends: Iterable[Backend]) -> None:
         """Go by another endpoint list from now on."""
         self.backends = {backend.name: backend for backend in backends}
 
@@ -170,7 +170,9 @@
             "cache": "",
         }
         plan = Plan(self.config, self.settings)
-        plan.follow(Backend(role, "", kind, self.settings.zone, started_ms=1.0) for role, kind in kinds.items())
+        plan.update_backends(
+            Backend(role, "", kind, self.settings.zone, started_ms=1.0) for role, kind in kinds.items()
+        )
         return plan.limits(2.0)
 
     def slow_start_limits(self, now_ms: float) -> Mapping[str, SlowStartLimit]:
--- a/beechslip/core/endpoint_table.py
+++ b/beechslip/core/endpoint_table.py
@@ -22,7 +22,7 @@
         """``clock`` is the one on which start times are placed."""
         self.backends: dict[str, Backend] = {}  # by name, draining ones included
         self._clock = clock
-        self._starts: dict[
+        self._start_times: dict[
             str, tuple[float, float]
         ] = {}  # by name: the start as dated by the list, and on this clock
 
@@ -31,12 +31,12 @@
         if update.kind != "changes":
             self.backends.clear()
             listed = {backend.name for backend in update.backends}
-            self._starts = {name: start for name, start in self._starts.items() if name in listed}
+            self._start_times = {name: start for name, start in self._start_times.items() if name in listed}
         backends = tuple(self._on_this_clock(backend) for backend in update.backends)
         for backend in backends:
             if backend.state == "gone":
                 self.backends.pop(backend.name, None)
-                self._starts.pop(backend.name, None)
+                self._start_times.pop(backend.name, None)
             else:
                 self.backends[backend.name] = backend
         _log_backends(update.kind, backends)
@@ -50,14 +50,14 @@
         """
         if backend.started_ms <= 0:
             return backend
-        dated_ms, started_ms = self._starts.get(backend.name, (0.0, 0.0))
+        dated_ms, started_ms = self._start_times.get(backend.name, (0.0, 0.0))
         if dated_ms != backend.started_ms:
             started_ms = local_ms(self._clock, backend.started_ms)
-            self._starts[backend.name] = backend.started_ms, started_ms
+            self._start_times[backend.name] = backend.started_ms, started_ms
         return backend if started_ms == backend.started_ms else replace(backend, started_ms=started_ms)
 
 
-def to_list_event(kind: interface.ListKind, backends: tuple[Backend, ...]) -> interface.EndpointList:
+def to_endpoint_list_event(kind: interface.ListKind, backends: tuple[Backend, ...]) -> interface.EndpointList:
     """The router's event for an endpoint list whose start times are on this clock."""
     entries = tuple(
         interface.Endpoint(
--- a/beechslip/core/engine.py
+++ b/beechslip/core/engine.py
@@ -14,8 +14,8 @@
 from typing import Literal
 
 from beechslip.clock import Clock, local_ms, to_ms, to_seconds
-from beechslip.core.attempts import AttemptFinished, AttemptRunner, InFlightAttempt, to_outcome
-from beechslip.core.endpoint_table import EndpointTable, to_list_event
+from beechslip.core.attempts import AttemptFinished, AttemptRunner, InFlightAttempt, to_outcome_event
+from beechslip.core.endpoint_table import EndpointTable, to_endpoint_list_event
 from beechslip.core.guards import GuardState
 from beechslip.core.health_checks import HealthCheckRunner
 from beechslip.core.messages import (
@@ -38,7 +38,7 @@
 log = logging.getLogger("beechslip.engine")
 
 DEFAULT_MAX_OPEN_REQUESTS = 20_000  # where the settings give no number
-LATE_FAILURE_MS = 1.0  # a failure this shortly before the deadline is put down to the deadline
+LATE_FAILURE_MARGIN_MS = 1.0  # a failure this shortly before the deadline is put down to the deadline
 
 
 class Engine:
@@ -62,12 +62,12 @@
         self.services = OptionalServices(quota_gate, observer, sent_log)
         self.listed = asyncio.Event()  # set once a whole list has been applied
         self._router = router
-        self._urgent: deque[object] = deque()
-        self._ordinary: deque[object] = deque()
-        self._posted = asyncio.Event()
-        self._last_s = 0.0  # the router's time: seconds of the clock, never less than before
+        self._urgent_queue: deque[object] = deque()
+        self._ordinary_queue: deque[object] = deque()
+        self._message_posted = asyncio.Event()
+        self._last_router_time_s = 0.0  # the router's time: seconds of the clock, never less than before
         self._requests = OpenRequestTable()
-        self.quiet = self._requests.idle  # set while no request is open
+        self.no_requests_open = self._requests.idle  # set while no request is open
         self._endpoints = EndpointTable(clock)
         self._purges = PurgeMemory()
         guard_state = GuardState(self._requests, self._endpoints.backends, self._purges, self.services)
@@ -78,24 +78,24 @@
     def post(self, message: object) -> None:
         """Queue a message. Purges, lists and settings overtake queued requests, as rules count from them."""
         urgent = isinstance(message, (EndpointListUpdate, PurgeReceived, SettingsChanged))
-        queue = self._urgent if urgent else self._ordinary
+        queue = self._urgent_queue if urgent else self._ordinary_queue
         queue.append(message)
-        self._posted.set()
+        self._message_posted.set()
 
     async def run(self) -> None:
         """Handle messages until cancelled; then cancel the attempts and health checks, and await them."""
         try:
-            self._tell_router(None, None)
+            self._notify_router(None, None)
             while True:
-                await self._posted.wait()
-                self._posted.clear()
-                while self._urgent or self._ordinary:
-                    self.step((self._urgent or self._ordinary).popleft())
+                await self._message_posted.wait()
+                self._message_posted.clear()
+                while self._urgent_queue or self._ordinary_queue:
+                    self.handle_message((self._urgent_queue or self._ordinary_queue).popleft())
         finally:
             tasks = [*self._attempts.cancel_all(), *self._health_checks.cancel_all()]
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def step(self, message: object) -> None:
+    def handle_message(self, message: object) -> None:
         """Handle one message now, ahead of those that are queued."""
         try:
             match message:
@@ -113,15 +113,15 @@
                     self._on_shutdown()
                 case SettingsChanged():
                     self.settings = message.settings
-                    self._tell_router(None, interface.SettingsChanged(message.settings))
+                    self._notify_router(None, interface.SettingsChanged(message.settings))
                 case (
                     interface.Timer() | interface.HealthCheckResult() | interface.Quotas() | interface.RegionShares()
                 ):
-                    self._tell_router(None, message)
+                    self._notify_router(None, message)
                 case RequestExpired():
-                    self._end(message.request, "last_moment", "deadline")
+                    self._fail_open_request(message.request, "last_moment", "deadline")
                 case RepeatForbidden():
-                    self._end(message.request, "sent_before", "sent before")
+                    self._fail_open_request(message.request, "sent_before", "sent before")
         except Exception:
             # Guards against an engine task that dies of one bad message and leaves all requests unanswered.
             self.counters.add("fault.engine")
@@ -129,15 +129,15 @@
 
     # The router module ----------------------------------------------------------------------------
 
-    def _tell_router(self, request_id: str | None, event: interface.Event | None) -> None:
+    def _notify_router(self, request_id: str | None, event: interface.Event | None) -> None:
         """Have the router handle an event (None: its start), and carry out its actions.
 
         If it raises, the request concerned has failed; requests that it may have forgotten by that expire.
         """
         now_s = to_seconds(self.clock.now_ms())
-        if now_s < self._last_s:
-            now_s = self._last_s
-        self._last_s = now_s
+        if now_s < self._last_router_time_s:
+            now_s = self._last_router_time_s
+        self._last_router_time_s = now_s
         try:
             actions = self._router.start(now_s) if event is None else self._router.handle(now_s, event)
         except Exception:
@@ -145,13 +145,13 @@
             log.exception("router: request %s", request_id)
             request = self._requests.by_id.get(request_id) if request_id else None
             if request is not None:
-                self._close(request, FinalResponse("failed", cause="fault"))
-                self._abandon(request)
+                self._finish_request(request, FinalResponse("failed", cause="fault"))
+                self._stop_attempt_and_notify_router(request)
             return
         for action in actions:
-            self._carry_out(action)
+            self._execute_action(action)
 
-    def _carry_out(self, action: interface.Action) -> None:
+    def _execute_action(self, action: interface.Action) -> None:
         match action:
             case interface.Attempt():
                 self._start_attempt(action)
@@ -187,24 +187,24 @@
         if request.refusal_is_safe():
             retry_after_ms = to_ms(action.retry_after)
             response = FinalResponse("refused", retry_after_ms=retry_after_ms, reason=action.reason)
-            self._close(request, response)
+            self._finish_request(request, response)
         else:
-            self._close(request, FinalResponse("failed", reason=action.reason))
+            self._finish_request(request, FinalResponse("failed", reason=action.reason))
 
     def _fail(self, action: interface.Fail) -> None:
         request = self._requests.by_id.get(action.request)
         if request is None:
             return
-        late = self.clock.now_ms() >= request.deadline_ms - LATE_FAILURE_MS
-        self._close(request, FinalResponse("failed", cause="deadline" if late else "", reason=action.reason))
+        late = self.clock.now_ms() >= request.deadline_ms - LATE_FAILURE_MARGIN_MS
+        self._finish_request(request, FinalResponse("failed", cause="deadline" if late else "", reason=action.reason))
 
     # Requests -------------------------------------------------------------------------------------
 
     def _on_request(self, received: RequestReceived) -> None:
-        call = received.call
+        client_request = received.client_request
         request = OpenRequest(received, self.settings)
         self.counters.add("taken")
-        if call.id in self._requests.by_id or (call.id, 0) in self._attempts.in_flight:
+        if client_request.id in self._requests.by_id or (client_request.id, 0) in self._attempts.in_flight:
             # Two open requests of one id would share attempts, and one response would be lost.
             self._responder.respond(request, FinalResponse("failed", cause="duplicate"))
             return
@@ -216,7 +216,7 @@
         self._requests.add(request)
         now_ms = self.clock.now_ms()
         request.alarm = self.clock.call_later(request.expires_ms - now_ms, lambda: self.post(RequestExpired(request)))
-        self._tell_router(call.id, to_request_event(request, now_ms))
+        self._notify_router(client_request.id, to_request_event(request, now_ms))
 
     def _on_client_disconnected(self, message: ClientDisconnected) -> None:
         request = self._requests.by_id.get(message.id)
@@ -225,23 +225,25 @@
         self.counters.add("left")
         self._responder.log_client_gone(request)
         self._remove(request)
-        self._abandon(request)
+        self._stop_attempt_and_notify_router(request)
 
-    def _end(self, request: OpenRequest, counter: str, cause: Literal["deadline", "sent before"]) -> None:
+    def _fail_open_request(
+        self, request: OpenRequest, counter: str, cause: Literal["deadline", "sent before"]
+    ) -> None:
         """Fail a request that the router has left open, so that none goes unanswered."""
         if not self._requests.holds(request):
             return
         self.counters.add(counter)
-        self._close(request, FinalResponse("failed", cause=cause))
-        self._abandon(request)
+        self._finish_request(request, FinalResponse("failed", cause=cause))
+        self._stop_attempt_and_notify_router(request)
 
     def _on_shutdown(self) -> None:
         """The router ends all that is open; what it leaves open fails."""
-        self._tell_router(None, interface.Shutdown())
+        self._notify_router(None, interface.Shutdown())
         for request in list(self._requests.by_id.values()):
-            self._end(request, "last_moment", "deadline")
+            self._fail_open_request(request, "last_moment", "deadline")
 
-    def _close(self, request: OpenRequest, response: FinalResponse) -> None:
+    def _finish_request(self, request: OpenRequest, response: FinalResponse) -> None:
         """Give the one final response."""
         self._remove(request)
         self._responder.respond(request, response)
@@ -250,15 +252,15 @@
 
     def _remove(self, request: OpenRequest) -> None:
         self._requests.remove(request)
-        never_ran = request.may_have_run_ms is None and request.attempt is None
-        if request.recorded and never_ran and self.services.sent_log is not None:
-            self.services.sent_log.forget(request.call.token)
+        never_ran = request.first_possible_run_ms is None and request.attempt is None
+        if request.is_recorded and never_ran and self.services.sent_log is not None:
+            self.services.sent_log.forget(request.client_request.idempotency_key)
 
-    def _abandon(self, request: OpenRequest) -> None:
+    def _stop_attempt_and_notify_router(self, request: OpenRequest) -> None:
         """Stop the attempt of a request that has ended without the router's decision, and tell the router."""
         if request.attempt is not None:
             request.attempt.stop("cancelled")
-        self._tell_router(None, interface.ClientGone(request.call.id))
+        self._notify_router(None, interface.ClientGone(request.client_request.id))
 
     # Results of attempts --------------------------------------------------------------------------
 
@@ -268,25 +270,25 @@
         request = self._attempts.finish(attempt, result)
         if result.result == "handed_out":
             if request is not None:
-                self._close(request, FinalResponse("served"))
-                self._tell_router(None, interface.ClientGone(spec.call.id))
-            self._attempts.hold(attempt, result.hold_ms)
+                self._finish_request(request, FinalResponse("served"))
+                self._notify_router(None, interface.ClientGone(spec.client_request.id))
+            self._attempts.keep_in_flight(attempt, result.hold_ms)
             return
         if request is not None and result.result == "ok":
-            self._close(request, FinalResponse("served", result.payload))
+            self._finish_request(request, FinalResponse("served", result.payload))
         # On the wire, from first byte to last: waits in this process must not make a backend look slow.
-        elapsed_ms = max((result.at_ms or now_ms) - attempt.sent_ms, 0.0)
-        outcome = to_outcome(spec, result, elapsed_ms, request_ended=request is None)
-        self._attempts.report(attempt, result, elapsed_ms)
+        elapsed_ms = max((result.ended_ms or now_ms) - attempt.sent_ms, 0.0)
+        outcome = to_outcome_event(spec, result, elapsed_ms, request_ended=request is None)
+        self._attempts.notify_services(attempt, result, elapsed_ms)
         self._responder.log_attempt(spec, result, elapsed_ms)
-        self._tell_router(spec.call.id, outcome)
+        self._notify_router(spec.client_request.id, outcome)
 
     # Endpoint lists and purges --------------------------------------------------------------------
 
     def _on_endpoint_list(self, update: EndpointListUpdate) -> None:
         backends = self._endpoints.apply(update)
-        self._health_checks.checker.follow(self._endpoints.backends)
-        self._tell_router(None, to_list_event(update.kind, backends))
+        self._health_checks.checker.update_backends(self._endpoints.backends)
+        self._notify_router(None, to_endpoint_list_event(update.kind, backends))
         if update.kind != "changes":
             self.listed.set()
 
@@ -295,6 +297,6 @@
         now_ms = self.clock.now_ms()
         self._purges.add(purge, now_ms)
         if self.services.observer is not None:
-            self.services.observer.purged(purge)
+            self.services.observer.purge_received(purge)
         age_ms = now_ms - local_ms(self.clock, purge.time_ms)
-        self._tell_router(None, interface.Purge(purge.object, purge.group, to_seconds(age_ms)))
+        self._notify_router(None, interface.Purge(purge.object, purge.group, to_seconds(age_ms)))
--- a/beechslip/core/messages.py
+++ b/beechslip/core/messages.py
@@ -13,7 +13,7 @@
 class RequestReceived:
     """A client's request, with what carries out its attempts and what takes its final response."""
 
-    call: ClientRequest
+    client_request: ClientRequest
     executor: AttemptExecutor
     response_sink: ResponseSink
 
--- a/beechslip/core/model.py
+++ b/beechslip/core/model.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, field
 from typing import Literal, Protocol
 
-Result = Literal[
+AttemptResultKind = Literal[
     "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss", "handed_out", "spoilt"
 ]
 # Results that prove that no backend has run the request. "moot": it was not attempted, or not to its first byte.
-PROVEN_NOT_EXECUTED: frozenset[Result] = frozenset({"full", "connect_failed", "moot", "miss"})
+PROVEN_NOT_EXECUTED: frozenset[AttemptResultKind] = frozenset({"full", "connect_failed", "moot", "miss"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,8 +32,8 @@
     arrived_ms: float = 0.0
     write: bool = False
     body: bytes = b""
-    token: str = ""  # idempotency key
-    tag: str = ""  # of the copy that the client holds
+    idempotency_key: str = ""  # idempotency key
+    etag: str = ""  # of the copy that the client holds
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 class AttemptRequest:
     """One attempt to be carried out."""
 
-    call: ClientRequest
+    client_request: ClientRequest
     number: int
     backend: Backend
     source: str  # the id of what fills a miss; "" for no fill
@@ -64,7 +64,7 @@
     join: bool = False
     renew: bool = False
     cached_only: bool = False
-    ends_ms: float = math.inf  # when the attempt is given up (of ``Clock.now_ms``)
+    timeout_at_ms: float = math.inf  # when the attempt is given up (of ``Clock.now_ms``)
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,8 +72,8 @@
     """What a backend answered: the bytes with their tag, or that the client's copy is current."""
 
     body: bytes = b""
-    tag: str = ""
-    same: bool = False  # the client's copy is current
+    etag: str = ""
+    is_not_modified: bool = False  # the client's copy is current
 
 
 @dataclass(slots=True)
@@ -81,18 +81,18 @@
     """How an attempt or a health check ended.
 
     ``spoilt``: the request has run, but what came of it can't be used; that speaks against no backend.
-    ``at_ms``: when the end was read off the wire; 0 where that is not known.
+    ``ended_ms``: when the end was read off the wire; 0 where that is not known.
 
     ``handed_out``: the client was sent to the backend and the request is served by that; the attempt
     counts as in flight for ``hold_ms`` more, and the router learns nothing from it.
     """
 
-    result: Result
+    result: AttemptResultKind
     note: str = ""
     report: dict[str, float] = field(default_factory=dict)
     payload: Payload | None = None
     hold_ms: float = 0.0
-    at_ms: float = field(default=0.0, compare=False)
+    ended_ms: float = field(default=0.0, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +124,7 @@
         """Check one backend now."""
         ...
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Take note of all that are listed now, by name, draining ones included: a live view, not a copy."""
         ...
 
@@ -137,7 +137,7 @@
         ...
 
     @property
-    def departed(self) -> bool:
+    def has_client_departed(self) -> bool:
         """Whether its client is known to have gone: nothing is owed, and nothing more may be sent for it.
 
         Known here before ``ClientDisconnected`` has come through the engine's queue.
--- a/beechslip/core/purge_memory.py
+++ b/beechslip/core/purge_memory.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         """Start with no purge remembered."""
         self._received_ms: dict[tuple[str, int], float] = {}  # by object with no group, or by group with no object
-        self._floor_ms = -math.inf  # when the last purge that is no longer in the table was received
+        self._last_evicted_ms = -math.inf  # when the last purge that is no longer in the table was received
 
     def add(self, purge: PurgeReceived, now_ms: float) -> None:
         """Remember a purge that was received now."""
@@ -31,13 +31,13 @@
         self._received_ms[key] = now_ms
         if len(self._received_ms) > MAX_REMEMBERED_PURGES:
             oldest = next(iter(self._received_ms))
-            self._floor_ms = self._received_ms.pop(oldest)
+            self._last_evicted_ms = self._received_ms.pop(oldest)
 
-    def purged_since(self, call: ClientRequest, since_ms: float) -> bool:
+    def purged_since(self, client_request: ClientRequest, since_ms: float) -> bool:
         """Whether a purge of the request's object or group was received after ``since_ms``."""
         last_ms = max(
-            self._received_ms.get((call.object, _NO_GROUP), -math.inf),
-            self._received_ms.get((_NO_OBJECT, call.group), -math.inf),
-            self._floor_ms,
+            self._received_ms.get((client_request.object, _NO_GROUP), -math.inf),
+            self._received_ms.get((_NO_OBJECT, client_request.group), -math.inf),
+            self._last_evicted_ms,
         )
         return last_ms > since_ms
--- a/beechslip/core/requests.py
+++ b/beechslip/core/requests.py
@@ -18,10 +18,10 @@
 # The router gives up this long before the client does, so that its last response is still written in time (which
 # takes under 1 ms). A wider margin would give up responses that are nearly there: some clients wait little longer
 # than the sending takes.
-ROUTER_MARGIN_MS = 8.0
-ENGINE_MARGIN_MS = 4.0  # what the router leaves open the engine ends this long before the client gives up
-MAX_MARGIN_PART = 0.25  # of the client's wait: a short wait has a smaller margin
-UNLIMITED_ATTEMPTS = 1_000  # where the settings give no cap
+ROUTER_DEADLINE_MARGIN_MS = 8.0
+ENGINE_DEADLINE_MARGIN_MS = 4.0  # what the router leaves open the engine ends this long before the client gives up
+MAX_MARGIN_FRACTION = 0.25  # of the client's wait: a short wait has a smaller margin
+DEFAULT_MAX_ATTEMPTS = 1_000  # where the settings give no cap
 
 
 class OpenRequest:
@@ -30,14 +30,14 @@
     __slots__ = (
         "alarm",
         "attempt",
-        "attempts_named",
+        "attempts_requested",
         "attempts_sent",
-        "call",
+        "client_request",
         "deadline_ms",
         "executor",
+        "first_possible_run_ms",
+        "is_recorded",
         "max_attempts",
-        "may_have_run_ms",
-        "recorded",
         "response_sink",
         "rule",
     )
@@ -47,30 +47,34 @@
 
         It keeps the rule of its class: clients hold it to that, whatever SIGHUP brings meanwhile.
         """
-        self.call: ClientRequest = received.call
+        self.client_request: ClientRequest = received.client_request
         self.executor: AttemptExecutor = received.executor
         self.response_sink: ResponseSink = received.response_sink
-        margin_ms = min(ROUTER_MARGIN_MS, self.call.wait_ms * MAX_MARGIN_PART)
-        self.deadline_ms = self.call.arrived_ms + self.call.wait_ms - margin_ms
-        self.attempts_named = 0  # by the router, which numbers them so
+        margin_ms = min(ROUTER_DEADLINE_MARGIN_MS, self.client_request.wait_ms * MAX_MARGIN_FRACTION)
+        self.deadline_ms = self.client_request.arrived_ms + self.client_request.wait_ms - margin_ms
+        self.attempts_requested = 0  # by the router, which numbers them so
         self.attempts_sent = 0  # of these, the ones of which a byte was written: only they count towards the cap
-        self.rule: ClassRule | None = settings.classes.get(received.call.class_name)
-        if self.rule is not None and self.rule.effect == "keyed" and not self.call.token:
+        self.rule: ClassRule | None = settings.classes.get(received.client_request.class_name)
+        if self.rule is not None and self.rule.effect == "keyed" and not self.client_request.idempotency_key:
             self.rule = replace(self.rule, effect="unsafe")  # without a key no backend can discard a repeat
-        self.max_attempts = settings.max_attempts or UNLIMITED_ATTEMPTS
+        self.max_attempts = settings.max_attempts or DEFAULT_MAX_ATTEMPTS
         self.attempt: InFlightAttempt | None = None  # the one in flight
-        self.may_have_run_ms: float | None = None  # when the first attempt that may have run was sent
-        self.recorded = False  # in the log of sent requests, where a store is configured
+        self.first_possible_run_ms: float | None = None  # when the first attempt that may have run was sent
+        self.is_recorded = False  # in the log of sent requests, where a store is configured
         self.alarm: Alarm | None = None
 
     @property
     def expires_ms(self) -> float:
         """When the engine ends the request if the router has not."""
-        return max(self.call.arrived_ms + self.call.wait_ms - ENGINE_MARGIN_MS, self.deadline_ms)
+        return max(
+            self.client_request.arrived_ms + self.client_request.wait_ms - ENGINE_DEADLINE_MARGIN_MS, self.deadline_ms
+        )
 
     def refusal_is_safe(self) -> bool:
         """Whether the client may be promised that a retry does no harm (``docs/terms-audit.md`` 4.5)."""
-        may_have_run = self.may_have_run_ms is not None or (self.attempt is not None and self.attempt.started)
+        may_have_run = self.first_possible_run_ms is not None or (
+            self.attempt is not None and self.attempt.may_have_been_sent
+        )
         if not may_have_run or self.rule is None or self.rule.effect == "safe":
             return True
         return self.rule.effect == "keyed" and self.rule.group == "all"
@@ -78,16 +82,16 @@
 
 def to_request_event(request: OpenRequest, now_ms: float) -> interface.Request:
     """The router's event for a request that has come."""
-    call = request.call
+    client_request = request.client_request
     return interface.Request(
-        request=call.id,
-        class_name=call.class_name,
-        object=call.object,
-        part=call.part,
-        group=call.group,
-        size_kb=call.size_kb,
+        request=client_request.id,
+        class_name=client_request.class_name,
+        object=client_request.object,
+        part=client_request.part,
+        group=client_request.group,
+        size_kb=client_request.size_kb,
         time_left=to_seconds(request.deadline_ms - now_ms),
-        conditional=bool(call.tag),
+        conditional=bool(client_request.etag),
     )
 
 
@@ -106,16 +110,16 @@
 
     def holds(self, request: OpenRequest) -> bool:
         """Whether this very request is open still, not merely one of the same id."""
-        return self.by_id.get(request.call.id) is request
+        return self.by_id.get(request.client_request.id) is request
 
     def add(self, request: OpenRequest) -> None:
         """Hold a request until ``remove``; its id must not be in the table."""
-        self.by_id[request.call.id] = request
+        self.by_id[request.client_request.id] = request
         self.idle.clear()
 
     def remove(self, request: OpenRequest) -> None:
         """Take out a request that has ended, and cancel its alarm."""
-        del self.by_id[request.call.id]
+        del self.by_id[request.client_request.id]
         if request.alarm is not None:
             request.alarm.cancel()
         if not self.by_id:
--- a/beechslip/core/responses.py
+++ b/beechslip/core/responses.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger("beechslip.engine")
 
-MAX_LOG_LINES = 20  # per period, about requests that were not served: under overload each costs needed CPU
+MAX_LOG_LINES_PER_PERIOD = 20  # per period, about requests that were not served: under overload each costs needed CPU
 LOG_PERIOD_MS = 1_000.0
 
 
@@ -26,8 +26,8 @@
         """``clock`` dates the log lines' periods and the requests' ages."""
         self._clock = clock
         self._counters = counters
-        self._period_began_ms = 0.0
-        self._lines = 0
+        self._period_start_ms = 0.0
+        self._lines_in_period = 0
 
     def respond(self, request: OpenRequest, response: FinalResponse) -> None:
         """Give a request its final response; the caller sees to it that there is only one."""
@@ -35,23 +35,23 @@
         if response.reason:
             self._counters.add(f"ended.{response.reason.replace(' ', '_')}")
         if log.isEnabledFor(logging.DEBUG):
-            self._log(logging.DEBUG, request, response)
+            self._log_final_response(logging.DEBUG, request, response)
         elif response.kind != "served" and self._may_log():
-            self._log(logging.INFO, request, response)
+            self._log_final_response(logging.INFO, request, response)
         request.response_sink.answer(response)
 
     def log_client_gone(self, request: OpenRequest) -> None:
         """Note that a client has left before its response."""
         if log.isEnabledFor(logging.DEBUG):
-            call = request.call
-            age_ms = self._clock.now_ms() - call.arrived_ms
+            client_request = request.client_request
+            age_ms = self._clock.now_ms() - client_request.arrived_ms
             log.debug(
                 "%s %s left after %.0f of %.0f ms, %.0f KB",
-                call.id,
-                call.class_name,
+                client_request.id,
+                client_request.class_name,
                 age_ms,
-                call.wait_ms,
-                call.size_kb,
+                client_request.wait_ms,
+                client_request.size_kb,
             )
 
     def log_attempt(self, spec: AttemptRequest, result: AttemptResult, elapsed_ms: float) -> None:
@@ -59,7 +59,7 @@
         if log.isEnabledFor(logging.DEBUG):
             log.debug(
                 "%s attempt %d at %s from %s: %s %s after %.0f ms",
-                spec.call.id,
+                spec.client_request.id,
                 spec.number,
                 spec.backend.name,
                 spec.source or "-",
@@ -68,18 +68,18 @@
                 elapsed_ms,
             )
 
-    def _log(self, level: int, request: OpenRequest, response: FinalResponse) -> None:
-        call = request.call
+    def _log_final_response(self, level: int, request: OpenRequest, response: FinalResponse) -> None:
+        client_request = request.client_request
         log.log(
             level,
             "%s %s %s after %.0f of %.0f ms, %.0f KB, attempts %d, retry %.0f, %s %s",
-            call.id,
-            call.class_name,
+            client_request.id,
+            client_request.class_name,
             response.kind,
-            self._clock.now_ms() - call.arrived_ms,
-            call.wait_ms,
-            call.size_kb,
-            request.attempts_named,
+            self._clock.now_ms() - client_request.arrived_ms,
+            client_request.wait_ms,
+            client_request.size_kb,
+            request.attempts_requested,
             response.retry_after_ms,
             response.reason or "-",
             response.cause,
@@ -87,8 +87,8 @@
 
     def _may_log(self) -> bool:
         now_ms = self._clock.now_ms()
-        if now_ms - self._period_began_ms >= LOG_PERIOD_MS:
-            self._period_began_ms = now_ms
-            self._lines = 0
-        self._lines += 1
-        return self._lines <= MAX_LOG_LINES
+        if now_ms - self._period_start_ms >= LOG_PERIOD_MS:
+            self._period_start_ms = now_ms
+            self._lines_in_period = 0
+        self._lines_in_period += 1
+        return self._lines_in_period <= MAX_LOG_LINES_PER_PERIOD
--- a/beechslip/core/services.py
+++ b/beechslip/core/services.py
@@ -12,19 +12,19 @@
 class QuotaGate(Protocol):
     """The fleet's quotas, as far as this proxy holds them; never raises and never blocks."""
 
-    def spend(self, spec: AttemptRequest, again: bool) -> bool:
+    def spend(self, spec: AttemptRequest, is_retry: bool) -> bool:
         """Whether the quotas have room for an attempt, of which they then spend.
 
-        Asked right before its first byte, as the last of its guards. ``again``: an earlier attempt of the
+        Asked right before its first byte, as the last of its guards. ``is_retry``: an earlier attempt of the
         request was sent.
         """
         ...
 
-    def ended(self, spec: AttemptRequest, result: AttemptResult) -> None:
+    def attempt_ended(self, spec: AttemptRequest, result: AttemptResult) -> None:
         """An attempt that was allowed has ended."""
         ...
 
-    def longest_ms(self, *backends: str) -> float:
+    def max_attempt_duration_ms(self, *backends: str) -> float:
         """How long an attempt to or through these backends may last (inf: no limit)."""
         ...
 
@@ -39,7 +39,7 @@
 class SentRequestLog(Protocol):
     """Remembers which keyed requests have been sent, over restarts."""
 
-    async def note(self, token: str) -> PreviousSend | bool:
+    async def record_send(self, idempotency_key: str) -> PreviousSend | bool:
         """Record a request before its first byte.
 
         True once it is recorded, the earlier record if there was one, False if it could not be recorded in the
@@ -47,7 +47,7 @@
         """
         ...
 
-    def forget(self, token: str) -> None:
+    def forget(self, idempotency_key: str) -> None:
         """Drop the record of a request of which no attempt can have run. Never waits."""
         ...
 
@@ -55,15 +55,15 @@
 class AttemptObserver(Protocol):
     """Sees the results of attempts, and bounds the age of copies beside the router; never raises, never blocks."""
 
-    def ended(self, spec: AttemptRequest, result: AttemptResult, elapsed_ms: float) -> None:
+    def attempt_ended(self, spec: AttemptRequest, result: AttemptResult, elapsed_ms: float) -> None:
         """An attempt that was sent, or that could not connect, has ended; ``elapsed_ms``: on the wire."""
         ...
 
-    def purged(self, purge: PurgeReceived) -> None:
+    def purge_received(self, purge: PurgeReceived) -> None:
         """A purge has come."""
         ...
 
-    def oldest_ms(self, *backends: str) -> float:
+    def max_copy_age_ms(self, *backends: str) -> float:
         """How old a copy from these backends may be (inf: no limit)."""
         ...
 
--- a/beechslip/core/settings_transition.py
+++ b/beechslip/core/settings_transition.py
@@ -9,11 +9,11 @@
 # Clients go by new settings 1.2 s after SIGHUP; the rest covers what they had sent before and a late signal.
 TRANSITION_MS = 1_500.0
 
-_STRICTNESS = {"safe": 0, "keyed": 1}  # by a class's effect
-_STRICTEST = 2  # every other effect counts as unsafe
+_EFFECT_STRICTNESS = {"safe": 0, "keyed": 1}  # by a class's effect
+_UNSAFE_STRICTNESS = 2  # every other effect counts as unsafe
 
 
-def stricter_of_both(old: Settings, new: Settings) -> Settings:
+def stricter_settings(old: Settings, new: Settings) -> Settings:
     """Both settings at once: classes of either, and where they differ the one that permits less.
 
     Guards against a request that is judged by the other side's settings: one of a class that is not there
@@ -29,7 +29,7 @@
 
 def _stricter_rule(old: ClassRule, new: ClassRule) -> ClassRule:
     """The new rule, with the effect, window and group of whichever permits fewer repeats."""
-    strict = max(old, new, key=lambda rule: _STRICTNESS.get(rule.effect, _STRICTEST))
+    strict = max(old, new, key=lambda rule: _EFFECT_STRICTNESS.get(rule.effect, _UNSAFE_STRICTNESS))
     window = strict.window
     group = strict.group
     if old.effect == new.effect == "keyed":
--- a/beechslip/dns/lookup.py
+++ b/beechslip/dns/lookup.py
@@ -66,7 +66,7 @@
         self._write(messages.failure(self._query, text))
 
     @property
-    def departed(self) -> bool:
+    def has_client_departed(self) -> bool:
         """Whether its client has left, or has its response."""
         return self.answered
 
--- a/beechslip/duties/shared.py
+++ b/beechslip/duties/shared.py
@@ -9,7 +9,8 @@
   others through the duty node;
 - a report from another member reaches the module as an ``i.HealthCheckResult``, as its own health check would.
 
-The list of duties follows the backends that are listed (``follow``), so no state of a backend that went remains.
+The list of duties follows the backends that are listed (``update_backends``), so no state of a backend that
+went remains.
 """
 
 from __future__ import annotations
@@ -60,11 +61,11 @@
         self._post = post
         self._backends: dict[str, Backend] = {}
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Make the listed backends the duties."""
         self._backends = dict(backends)
         self.node.set_duties(tuple(self._backends))
-        self._inner.follow(backends)
+        self._inner.update_backends(backends)
 
     async def health_check(self, backend: Backend) -> AttemptResult:
         """Another member's fresh result, or else a health check by this proxy, which is reported."""
--- a/beechslip/peering.py
+++ b/beechslip/peering.py
@@ -33,11 +33,11 @@
         self._inner = inner
         self._parts = parts
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Pass on the backends that are listed now."""
         for part in self._parts:
-            part.follow(backends.values())
-        self._inner.follow(backends)
+            part.update_backends(backends.values())
+        self._inner.update_backends(backends)
 
     async def health_check(self, backend: Backend) -> AttemptResult:
         """Have ``inner`` check a backend."""
--- a/beechslip/platform/backends.py
+++ b/beechslip/platform/backends.py
@@ -65,9 +65,9 @@
         self._pool.close()
         await asyncio.sleep(0)  # for the connections to process their end
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Take the backends that are listed now, by name."""
-        self._pool.follow(backends)
+        self._pool.update_backends(backends)
 
     async def _exchange(
         self, backend: Backend, compose: Callable[[], bytes], may_start: Callable[[], bool]
@@ -154,7 +154,7 @@
 
     async def execute(self, attempt: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
         """Carry out an attempt; see ``AttemptExecutor``. ``may_start`` is asked right before the first byte."""
-        call = attempt.call
+        call = attempt.client_request
         received = await self._exchange(
             attempt.backend, lambda: attempt_message(attempt, self._remaining_ms(attempt)), may_start
         )
@@ -162,16 +162,16 @@
             return received
         response = received.response
         result = parse_backend_response(
-            response.status, response.fields, response.body, self._visible_notes, call.tag, call.write
+            response.status, response.fields, response.body, self._visible_notes, call.etag, call.write
         )
         if result.result == "spoilt":
             self._counters.add("depot.spoilt")
-        result.at_ms = received.read_ms
+        result.ended_ms = received.read_ms
         return result
 
     def _remaining_ms(self, attempt: AttemptRequest) -> float:
         """How long the attempt may still last: its backend gets no more time than its client has left."""
-        return min(attempt.timeout_ms, attempt.ends_ms - self._clock.now_ms())
+        return min(attempt.timeout_ms, attempt.timeout_at_ms - self._clock.now_ms())
 
     async def health_check(self, backend: Backend, may_start: Callable[[], bool] = lambda: True) -> AttemptResult:
         """Request a backend's health page; "moot" if ``may_start``, asked right before the first byte, says no."""
--- a/beechslip/platform/client_requests.py
+++ b/beechslip/platform/client_requests.py
@@ -107,8 +107,8 @@
         arrived_ms=arrived_ms,
         write=rule.write,
         body=body,
-        token=_field(headers, "Req-Token", _TOKEN, ""),
-        tag=match.group(1) if match else "",
+        idempotency_key=_field(headers, "Req-Token", _TOKEN, ""),
+        etag=match.group(1) if match else "",
     )
 
 
--- a/beechslip/platform/connection_pool.py
+++ b/beechslip/platform/connection_pool.py
@@ -51,7 +51,7 @@
         self._gated: dict[str, deque[asyncio.Future[None]]] = {}  # by backend: for a place that the gate allows
         self._backends: Mapping[str, Backend] | None = None  # the listed ones, by name
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Close idle connections to backends that are not listed any more: these may go without closing them."""
         self._backends = backends
         for key in [key for key in self._idle if not self._listed(key)]:
--- a/beechslip/platform/front.py
+++ b/beechslip/platform/front.py
@@ -49,7 +49,7 @@
             self.final.set_result(final)
 
     @property
-    def departed(self) -> bool:
+    def has_client_departed(self) -> bool:
         """Whether the client has closed its connection."""
         return self._connection.client_gone
 
@@ -58,8 +58,8 @@
     """The wire form of a final response."""
     payload = final.payload
     if final.kind == "served" and payload is not None:
-        headers = {"ETag": f'"{payload.tag}"'} if payload.tag else {}
-        if payload.same:
+        headers = {"ETag": f'"{payload.etag}"'} if payload.etag else {}
+        if payload.is_not_modified:
             return web.Response(status=304, headers=headers)
         return web.Response(body=payload.body, headers=headers, content_type="application/octet-stream")
     if final.kind == "refused":
--- a/beechslip/regions/part.py
+++ b/beechslip/regions/part.py
@@ -107,7 +107,7 @@
         is_hub = bool(self._settings.parent_kind) and backend.kind == self._settings.parent_kind
         return f"{HUB_ROLE if is_hub else CACHE_ROLE}:{backend.zone}"
 
-    def follow(self, backends: Iterable[Backend]) -> None:
+    def update_backends(self, backends: Iterable[Backend]) -> None:
         """Take a new endpoint list."""
         self._backends = {backend.name: backend for backend in backends}
         sizes: dict[str, int] = {}
@@ -121,7 +121,7 @@
     def retune(self, settings: Settings) -> None:
         """Take new settings: other kinds may be hubs or the origin."""
         self._settings = settings
-        self.follow(self._backends.values())
+        self.update_backends(self._backends.values())
 
     def _publish(self, now_ms: float) -> None:
         """Pass what has changed to the router, the log and the counters."""
@@ -163,11 +163,11 @@
 
     # Evidence ----------------------------------------------------------------------------------------------
 
-    def purged(self, purge: PurgeReceived) -> None:
+    def purge_received(self, purge: PurgeReceived) -> None:
         """Note that a purge was received; a region that is out may miss it."""
         self._last_purge_ms = self._clock.steady_ms()
 
-    def oldest_ms(self, *backends: str) -> float:
+    def max_copy_age_ms(self, *backends: str) -> float:
         """The greatest age (ms) that a copy from any of these may have; infinite without a limit.
 
         A region that was out may have missed a purge; from it only copies made since its return are served.
@@ -179,7 +179,7 @@
         ]
         return max(self._clock.steady_ms() - max(returns), 1.0) if returns else float("inf")
 
-    def ended(self, request: AttemptRequest, attempt: AttemptResult, elapsed_ms: float) -> None:
+    def attempt_ended(self, request: AttemptRequest, attempt: AttemptResult, elapsed_ms: float) -> None:
         """Record the end of an attempt as evidence on the region of its backend and on that of its source."""
         now_ms = self._clock.steady_ms()
         evidence = self.node.evidence
--- a/beechslip/reload.py
+++ b/beechslip/reload.py
@@ -10,7 +10,7 @@
 
 from beechslip.clock import Alarm, Clock
 from beechslip.config import Config, ConfigError, ConfigUnreadableError, reread_config
-from beechslip.core.settings_transition import TRANSITION_MS, stricter_of_both
+from beechslip.core.settings_transition import TRANSITION_MS, stricter_settings
 from beechslip.counters import Counters
 from beechslip.fleet.settings import FLEET_FILE, read_fleet
 from beechslip.platform.changelog import ChangeLog
@@ -101,7 +101,7 @@
         if settings == self.settings:
             return
         log.info("settings: classes %s, attempts %d", " ".join(settings.classes), settings.max_attempts)
-        self._apply(stricter_of_both(self.settings, settings))
+        self._apply(stricter_settings(self.settings, settings))
         self._transition = self._clock.call_later(TRANSITION_MS, lambda: self._apply(settings))
 
     def _apply(self, settings: Settings) -> None:
--- a/beechslip/shutdown.py
+++ b/beechslip/shutdown.py
@@ -42,9 +42,9 @@
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout_at(kill_s - FINAL_RESPONSES_S):
-            await engine.quiet.wait()
+            await engine.no_requests_open.wait()
     except TimeoutError:
         log.info("some requests are open still: they are ended before SIGKILL may come")
         engine.post(Shutdown())
-        await engine.quiet.wait()
+        await engine.no_requests_open.wait()
     await front.settle(max(kill_s - FINAL_BYTES_S - loop.time(), FINAL_BYTES_S) * 1000.0)
--- a/beechslip/store/sent_requests.py
+++ b/beechslip/store/sent_requests.py
@@ -104,7 +104,7 @@
         self._pruned_ms = self._started_ms
         self._boot = _read_boot_id()
 
-    async def note(self, token: str) -> PreviousSend | bool:
+    async def record_send(self, token: str) -> PreviousSend | bool:
         """Log a request before its first byte; see :class:`beechslip.core.model.SentRequestLog`."""
         if self._pending >= MAX_PENDING:
             self._counters.add("record.full")
--- a/lab/model_checks.py
+++ b/lab/model_checks.py
@@ -90,7 +90,7 @@
         return BudgetFindings()
     day_ms = time.time() * 1000.0 - steady_ms()
     plan = Plan(_budgets_config(table), read_settings(testbed.settings(0)))
-    plan.follow(backend.entry(started_ms=backend.started_ms) for backend in backends)
+    plan.update_backends(backend.entry(started_ms=backend.started_ms) for backend in backends)
     bounds = _changed_bounds(testbed, plan, day_ms)
     violations, used = check_spending(backends, plan, day_ms, bounds, PUBLISHED_MS)
     return BudgetFindings(violations if table.get("enabled") else [], used)
@@ -114,7 +114,7 @@
         return {}
     amounts = dict(plan.config.amounts) | dict(change.amounts)
     changed = Plan(dataclasses.replace(plan.config, amounts=amounts), plan.settings)
-    changed.follow(plan.backends.values())
+    changed.update_backends(plan.backends.values())
     originals = {budget.name: budget for budget in plan.limits(day_ms)}
     bounds: dict[str, list[tuple[float, float]]] = {}
     for budget in changed.limits(day_ms):
--- a/lab/stand.py
+++ b/lab/stand.py
@@ -208,7 +208,7 @@
         await self._servers.__aenter__()
         self.client = BackendClient(self.settings, self.sockets, self.clock, self.counters)
         self.engine = Engine(self.settings, self.module, self.clock, self.client, self.counters)
-        self.engine.step(EndpointListUpdate("all", tuple(backend.entry() for backend in self.backends)))
+        self.engine.handle_message(EndpointListUpdate("all", tuple(backend.entry() for backend in self.backends)))
         self._task = asyncio.create_task(self.engine.run())
         self.front = HttpFront(self.settings, self.clock, self.client, self.engine.post, self.counters, self.sockets)
         await self.front.start(Address("127.0.0.1", 0))
--- a/tests/core/test_guards.py
+++ b/tests/core/test_guards.py
@@ -10,12 +10,12 @@
 
 from beechslip.core.attempts import InFlightAttempt
 from beechslip.core.guards import (
+    REPEAT_WINDOW_MARGIN_MS,
     SEND_GUARDS,
-    WINDOW_MARGIN_MS,
     GuardState,
-    Verdict,
-    may_name,
-    may_send,
+    GuardVerdict,
+    check_send_guards,
+    check_start_guards,
 )
 from beechslip.core.messages import PurgeReceived, RequestReceived
 from beechslip.core.model import AttemptRequest, Backend, ClientRequest
@@ -34,7 +34,7 @@
 class Sink:
     """A client that may have departed, and that needs no answer."""
 
-    departed = False
+    has_client_departed = False
 
 
 @dataclass
@@ -44,7 +44,7 @@
     room: bool
     spent: int = 0
 
-    def spend(self, spec: AttemptRequest, again: bool) -> bool:
+    def spend(self, spec: AttemptRequest, is_retry: bool) -> bool:
         self.spent += 1
         return self.room
 
@@ -57,19 +57,21 @@
     request: OpenRequest
     attempt: InFlightAttempt
 
-    def verdict(self) -> Verdict:
-        return may_send(self.state, self.request, self.attempt, NOW_MS)
+    def verdict(self) -> GuardVerdict:
+        return check_send_guards(self.state, self.request, self.attempt, NOW_MS)
 
 
 def case() -> Case:
     sink: Any = Sink()
     executor: Any = None
-    call = ClientRequest("1", "plot", "7f3a", group=4, wait_ms=1_000.0, arrived_ms=NOW_MS - 500.0, token="5c")
+    client_request = ClientRequest(
+        "1", "plot", "7f3a", group=4, wait_ms=1_000.0, arrived_ms=NOW_MS - 500.0, idempotency_key="5c"
+    )
     backends = {name: Backend(name, f"{name}:80") for name in ("cache", "hub")}
     state = GuardState(OpenRequestTable(), backends, PurgeMemory(), OptionalServices())
-    request = OpenRequest(RequestReceived(call, executor, sink), SETTINGS)
+    request = OpenRequest(RequestReceived(client_request, executor, sink), SETTINGS)
     state.requests.add(request)
-    spec = AttemptRequest(call, 0, backends["cache"], "hub", timeout_ms=400.0)
+    spec = AttemptRequest(client_request, 0, backends["cache"], "hub", timeout_ms=400.0)
     attempt = InFlightAttempt(spec, NAMED_MS)
     request.attempt = attempt
     return Case(state, request, attempt)
@@ -91,63 +93,63 @@
 
 def purge_as_write(one: Case) -> None:
     purge(one, PurgeReceived("7f3a", 0, 0.0))
-    write = replace(one.request.call, write=True)
-    one.request.call = write
+    write = replace(one.request.client_request, write=True)
+    one.request.client_request = write
 
 
 def repeat(one: Case, effect: str, group: str = "all", ago_ms: float = 100.0) -> None:
     one.request.rule = replace(RULE, effect=effect, group=group)
-    one.request.may_have_run_ms = NOW_MS - ago_ms
+    one.request.first_possible_run_ms = NOW_MS - ago_ms
 
 
 def expire(one: Case, left_ms: float) -> None:
     one.request.deadline_ms = NOW_MS + left_ms
 
 
-def set_gate(one: Case, room: bool, started: bool = False) -> None:
+def set_gate(one: Case, room: bool, may_have_been_sent: bool = False) -> None:
     gate: Any = Gate(room)
     one.state.services.quota_gate = gate
-    one.attempt.started = started
-
-
-SPOILT: list[tuple[Callable[[Case], object], Verdict]] = [
-    (lambda one: None, Verdict.ALLOWED),
-    (lambda one: one.attempt.stop("cancelled"), Verdict.ATTEMPT_STOPPED),
-    (lambda one: one.state.requests.remove(one.request), Verdict.REQUEST_ENDED),
-    (lambda one: one.state.requests.by_id.update({"1": case().request}), Verdict.REQUEST_ENDED),
-    (lambda one: setattr(one.request.response_sink, "departed", True), Verdict.CLIENT_DEPARTED),
-    (lambda one: purge(one, PurgeReceived("7f3a", 0, 0.0)), Verdict.PURGED_SINCE),
-    (lambda one: purge(one, PurgeReceived("", 4, 0.0)), Verdict.PURGED_SINCE),
-    (lambda one: purge(one, PurgeReceived("", 5, 0.0)), Verdict.ALLOWED),
-    (lambda one: purge(one, PurgeReceived("7f3a", 0, 0.0), NAMED_MS), Verdict.ALLOWED),
-    (purge_as_write, Verdict.ALLOWED),
-    (lambda one: list_as(one, "cache", state="draining"), Verdict.BACKEND_NOT_READY),
-    (lambda one: list_as(one, "cache", address="cache:81"), Verdict.BACKEND_NOT_READY),
-    (lambda one: delist(one, "cache"), Verdict.BACKEND_NOT_READY),
-    (lambda one: list_as(one, "hub", state="draining"), Verdict.SOURCE_NOT_READY),
-    (lambda one: delist(one, "hub"), Verdict.SOURCE_NOT_READY),
-    (lambda one: repeat(one, "safe"), Verdict.ALLOWED),
-    (lambda one: repeat(one, "unsafe"), Verdict.REPEAT_NOT_DISCARDED),
-    (lambda one: repeat(one, ""), Verdict.REPEAT_NOT_DISCARDED),
-    (lambda one: repeat(one, "keyed", "zone"), Verdict.REPEAT_NOT_DISCARDED),
-    (lambda one: repeat(one, "keyed"), Verdict.ALLOWED),
-    (lambda one: repeat(one, "keyed", ago_ms=WINDOW_MS - WINDOW_MARGIN_MS - 1.0), Verdict.ALLOWED),
-    (lambda one: repeat(one, "keyed", ago_ms=WINDOW_MS - WINDOW_MARGIN_MS), Verdict.REPEAT_WINDOW_OVER),
-    (lambda one: expire(one, 1.0), Verdict.ALLOWED),
-    (lambda one: expire(one, 0.0), Verdict.DEADLINE_PASSED),
-    (lambda one: set_gate(one, True), Verdict.ALLOWED),
-    (lambda one: set_gate(one, False), Verdict.QUOTA_EXHAUSTED),
-    (lambda one: set_gate(one, False, started=True), Verdict.ALLOWED),
+    one.attempt.may_have_been_sent = may_have_been_sent
+
+
+SPOILT: list[tuple[Callable[[Case], object], GuardVerdict]] = [
+    (lambda one: None, GuardVerdict.ALLOWED),
+    (lambda one: one.attempt.stop("cancelled"), GuardVerdict.ATTEMPT_STOPPED),
+    (lambda one: one.state.requests.remove(one.request), GuardVerdict.REQUEST_ENDED),
+    (lambda one: one.state.requests.by_id.update({"1": case().request}), GuardVerdict.REQUEST_ENDED),
+    (lambda one: setattr(one.request.response_sink, "has_client_departed", True), GuardVerdict.CLIENT_DEPARTED),
+    (lambda one: purge(one, PurgeReceived("7f3a", 0, 0.0)), GuardVerdict.PURGED_SINCE),
+    (lambda one: purge(one, PurgeReceived("", 4, 0.0)), GuardVerdict.PURGED_SINCE),
+    (lambda one: purge(one, PurgeReceived("", 5, 0.0)), GuardVerdict.ALLOWED),
+    (lambda one: purge(one, PurgeReceived("7f3a", 0, 0.0), NAMED_MS), GuardVerdict.ALLOWED),
+    (purge_as_write, GuardVerdict.ALLOWED),
+    (lambda one: list_as(one, "cache", state="draining"), GuardVerdict.BACKEND_NOT_READY),
+    (lambda one: list_as(one, "cache", address="cache:81"), GuardVerdict.BACKEND_NOT_READY),
+    (lambda one: delist(one, "cache"), GuardVerdict.BACKEND_NOT_READY),
+    (lambda one: list_as(one, "hub", state="draining"), GuardVerdict.SOURCE_NOT_READY),
+    (lambda one: delist(one, "hub"), GuardVerdict.SOURCE_NOT_READY),
+    (lambda one: repeat(one, "safe"), GuardVerdict.ALLOWED),
+    (lambda one: repeat(one, "unsafe"), GuardVerdict.REPEAT_NOT_DISCARDED),
+    (lambda one: repeat(one, ""), GuardVerdict.REPEAT_NOT_DISCARDED),
+    (lambda one: repeat(one, "keyed", "zone"), GuardVerdict.REPEAT_NOT_DISCARDED),
+    (lambda one: repeat(one, "keyed"), GuardVerdict.ALLOWED),
+    (lambda one: repeat(one, "keyed", ago_ms=WINDOW_MS - REPEAT_WINDOW_MARGIN_MS - 1.0), GuardVerdict.ALLOWED),
+    (lambda one: repeat(one, "keyed", ago_ms=WINDOW_MS - REPEAT_WINDOW_MARGIN_MS), GuardVerdict.REPEAT_WINDOW_OVER),
+    (lambda one: expire(one, 1.0), GuardVerdict.ALLOWED),
+    (lambda one: expire(one, 0.0), GuardVerdict.DEADLINE_PASSED),
+    (lambda one: set_gate(one, True), GuardVerdict.ALLOWED),
+    (lambda one: set_gate(one, False), GuardVerdict.QUOTA_EXHAUSTED),
+    (lambda one: set_gate(one, False, may_have_been_sent=True), GuardVerdict.ALLOWED),
 ]
 
 
 @pytest.mark.parametrize(("spoil", "verdict"), SPOILT)
-def test_right_before_the_first_byte(spoil: Callable[[Case], object], verdict: Verdict) -> None:
+def test_right_before_the_first_byte(spoil: Callable[[Case], object], verdict: GuardVerdict) -> None:
     one = case()
     spoil(one)
     assert one.verdict() is verdict
     found = {guard(one.state, one.request, one.attempt, NOW_MS) for guard in SEND_GUARDS}
-    assert found - {Verdict.ALLOWED} == {verdict} - {Verdict.ALLOWED}  # no other guard forbids it
+    assert found - {GuardVerdict.ALLOWED} == {verdict} - {GuardVerdict.ALLOWED}  # no other guard forbids it
 
 
 def test_a_quota_is_spent_only_by_an_attempt_that_all_other_guards_allow() -> None:
@@ -155,35 +157,42 @@
     set_gate(one, True)
     gate: Any = one.state.services.quota_gate
     expire(one, 0.0)
-    assert (one.verdict(), gate.spent) == (Verdict.DEADLINE_PASSED, 0)
+    assert (one.verdict(), gate.spent) == (GuardVerdict.DEADLINE_PASSED, 0)
     expire(one, 1.0)
-    assert (one.verdict(), gate.spent) == (Verdict.ALLOWED, 1)
+    assert (one.verdict(), gate.spent) == (GuardVerdict.ALLOWED, 1)
 
 
 @pytest.mark.parametrize(
     ("sent", "in_flight", "settings", "verdict"),
     [
-        (2, False, SETTINGS, Verdict.ALLOWED),
-        (3, False, SETTINGS, Verdict.ATTEMPTS_EXHAUSTED),
-        (3, False, replace(SETTINGS, max_attempts=8), Verdict.ATTEMPTS_EXHAUSTED),  # it keeps the cap of its arrival
-        (2, False, replace(SETTINGS, max_attempts=2), Verdict.ATTEMPTS_EXHAUSTED),
-        (2, False, replace(SETTINGS, max_attempts=0), Verdict.ALLOWED),
-        (0, True, SETTINGS, Verdict.ATTEMPT_IN_FLIGHT),
-        (0, True, replace(SETTINGS, hedging=True), Verdict.ALLOWED),
+        (2, False, SETTINGS, GuardVerdict.ALLOWED),
+        (3, False, SETTINGS, GuardVerdict.ATTEMPTS_EXHAUSTED),
+        (
+            3,
+            False,
+            replace(SETTINGS, max_attempts=8),
+            GuardVerdict.ATTEMPTS_EXHAUSTED,
+        ),  # it keeps the cap of its arrival
+        (2, False, replace(SETTINGS, max_attempts=2), GuardVerdict.ATTEMPTS_EXHAUSTED),
+        (2, False, replace(SETTINGS, max_attempts=0), GuardVerdict.ALLOWED),
+        (0, True, SETTINGS, GuardVerdict.ATTEMPT_IN_FLIGHT),
+        (0, True, replace(SETTINGS, hedging=True), GuardVerdict.ALLOWED),
     ],
 )
-def test_when_the_router_names_an_attempt(sent: int, in_flight: bool, settings: Settings, verdict: Verdict) -> None:
+def test_when_the_router_names_an_attempt(
+    sent: int, in_flight: bool, settings: Settings, verdict: GuardVerdict
+) -> None:
     one = case()
     one.request.attempts_sent = sent
     if not in_flight:
         one.request.attempt = None
-    assert may_name(one.request, settings) is verdict
+    assert check_start_guards(one.request, settings) is verdict
 
 
 def test_beyond_the_bound_the_oldest_purge_counts_for_all_objects() -> None:
     one = case()
     for number in range(MAX_REMEMBERED_PURGES):
         purge(one, PurgeReceived(f"other-{number}", 0, 0.0))
-    assert one.verdict() is Verdict.ALLOWED
+    assert one.verdict() is GuardVerdict.ALLOWED
     purge(one, PurgeReceived("one-more", 0, 0.0))
-    assert one.verdict() is Verdict.PURGED_SINCE
+    assert one.verdict() is GuardVerdict.PURGED_SINCE
--- a/tests/test_budgets_settings.py
+++ b/tests/test_budgets_settings.py
@@ -129,7 +129,7 @@
     config = _file_config()
     plan, now = Plan(config, SETTINGS), 1_000_000.0
     warming_hub = Backend("h", "a", "parent", "hub", started_ms=now)
-    plan.follow(
+    plan.update_backends(
         [
             warming_hub,
             Backend("o", "a", "origin", "hub"),
--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -28,7 +28,7 @@
         BudgetsConfig(2000.0, 1.0, 0.0, 100.0, 0.01, dict.fromkeys(AMOUNTS, 0.0) | amounts, fill_ms), stand.settings
     )
     part = BudgetPart(node, plan, stand.clock, stand.counters, stand.engine.post if posted else lambda message: None)
-    part.follow(stand.engine._endpoints.backends.values())
+    part.update_backends(stand.engine._endpoints.backends.values())
     part.tick(now - 1e5)
     for quota in node.quotas.values():
         quota._loans.clear()
@@ -136,14 +136,14 @@
             self.began += 1
             return AttemptResult("ok")
 
-        def follow(self, backends: Any) -> None:
+        def update_backends(self, backends: Any) -> None:
             pass
 
     async with Stand(*backends()) as stand:
         part = part_for(stand, probes_per_s=1.0, probe_burst=1.0)
         inner = Inner()
         health_checker = BudgetedHealthChecker(inner, part)
-        health_checker.follow(stand.engine._endpoints.backends.values())
+        health_checker.update_backends(stand.engine._endpoints.backends.values())
         assert (await health_checker.health_check(Backend("a", "x"))).result == "ok"
         second = asyncio.create_task(health_checker.health_check(Backend("a", "x")))
         await asyncio.sleep(0.12)
@@ -156,7 +156,7 @@
 async def test_a_hand_out_by_dns_is_an_attempt_like_any_other() -> None:
     async with DnsStand(module=Always("s-0")) as stand:
         # 0.3 transfers x 3 s x half of 2.5 x 0.18 warm: room for two requests of 100 ms within 3 s.
-        stand.engine.step(EndpointListUpdate("changes", (box(0, started_ms=stand.clock.now_ms()),)))
+        stand.engine.handle_message(EndpointListUpdate("changes", (box(0, started_ms=stand.clock.now_ms()),)))
         part_for(stand, cache_bears=0.3)
         names = own(0)[:4]
         answers = [await stand.ask(f"{name}.waveform.{ZONE}", "A") for name in names]
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -58,7 +58,7 @@
     async def health_check(self, backend: Backend) -> AttemptResult:
         raise AssertionError(backend)
 
-    def follow(self, backends: Iterable[Backend]) -> None:
+    def update_backends(self, backends: Iterable[Backend]) -> None:
         pass
 
 
@@ -78,7 +78,7 @@
             self.settings, module or Router(self.settings, 1), self.clock, NoHealthChecker(), self.counters
         )
         if listed is not None:
-            self.engine.step(EndpointListUpdate("all", listed))
+            self.engine.handle_message(EndpointListUpdate("all", listed))
         self.front = DnsFront(
             DnsConfig(zone, Address("127.0.0.1", port), HOLD_MS, WAIT_MS),
             self.settings,
@@ -191,8 +191,8 @@
         lookup = Lookup(query, question, HOLD_MS, written.append, lambda: None)
         call = ClientRequest("d", "waveform", question.object, wait_ms=WAIT_MS, arrived_ms=stand.clock.now_ms())
         resolver, marked = Resolver(stand), stand.clock.now_ms()
-        stand.engine.step(RequestReceived(call, lookup, lookup))
-        stand.engine.step(EndpointListUpdate("changes", (box(0, "draining"),)))
+        stand.engine.handle_message(RequestReceived(call, lookup, lookup))
+        stand.engine.handle_message(EndpointListUpdate("changes", (box(0, "draining"),)))
         stand.clock.advance(600)
         await until(lambda: written)
         resolver.named.append((stand.clock.now_ms(), written[0].answer[0][0].to_text()))  # type: ignore[union-attr]
--- a/tests/test_duties_wire.py
+++ b/tests/test_duties_wire.py
@@ -224,7 +224,7 @@
         self.checked.append(backend.name)
         return AttemptResult("ok")
 
-    def follow(self, backends: object) -> None:
+    def update_backends(self, backends: object) -> None:
         pass
 
 
@@ -234,7 +234,7 @@
     node = DutyNode(Membership("me", clock.now_ms(), ("other",)), ())
     shared = SharedHealthChecker(inner, node, clock, Counters(), posted.append)
     backends = [Backend(f"box{n}", f"127.0.0.1:{9000 + n}") for n in range(6)]
-    shared.follow({backend.name: backend for backend in backends})
+    shared.update_backends({backend.name: backend for backend in backends})
     theirs = next(d for d in backends if node.rank(d.name) != 0)
     mine = next(d for d in backends if node.rank(d.name) == 0)
     now = clock.now_ms()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -54,8 +54,8 @@
 @run
 async def test_new_settings_bring_no_draining_backend_back() -> None:
     async with Stand(*(backends := [StandBackend("a"), StandBackend("b")])) as stand:
-        stand.engine.step(EndpointListUpdate("changes", (backends[0].entry("draining"),)))
-        stand.engine.step(SettingsChanged(replace(stand.settings, max_attempts=3)))
+        stand.engine.handle_message(EndpointListUpdate("changes", (backends[0].entry("draining"),)))
+        stand.engine.handle_message(SettingsChanged(replace(stand.settings, max_attempts=3)))
         for n in range(8):
             assert (await stand.ask(target=f"/rpc/waveform/{n}"))[0] == 200
         assert not backends[0].seen and len(backends[1].seen) == 8
@@ -226,7 +226,7 @@
     clock, rng = ManualClock(), Random(count)
     starting, warm = Metered("a", clock), Metered("b", clock)
     answered: list[FinalResponse] = []
-    response_sink: Any = SimpleNamespace(answer=answered.append, departed=False)
+    response_sink: Any = SimpleNamespace(answer=answered.append, has_client_departed=False)
     sizes = [3200.0 * rng.lognormvariate(-0.7, 1.2) for _ in range(300)]
     weights = [1.0 / (n + 1) for n in range(300)]
     async with listening(starting, warm):
@@ -234,7 +234,7 @@
         for n in range(count):
             client = BackendClient(settings, 90, clock, Counters())
             engine = Engine(settings, Router(settings, n), clock, client, Counters())
-            engine.step(EndpointListUpdate("all", (starting.entry(), warm.entry())))
+            engine.handle_message(EndpointListUpdate("all", (starting.entry(), warm.entry())))
             parts.append((engine, client, asyncio.create_task(engine.run())))
 
         async def play(seconds: float, rate: float) -> None:
--- a/tests/test_parse.py
+++ b/tests/test_parse.py
@@ -26,7 +26,7 @@
 
 RULES = read_settings(SETTINGS)
 GOOD = {"Req-Id": "9b1f03aa5c7e2d41", "Req-Wait-Ms": "1500"}
-CALL = ClientRequest("9b1f03aa5c7e2d41", "waveform", "7f3a", 3, 17, 412.5, 1500.0, 5.0, tag="4be0")
+CALL = ClientRequest("9b1f03aa5c7e2d41", "waveform", "7f3a", 3, 17, 412.5, 1500.0, 5.0, etag="4be0")
 
 
 @pytest.mark.parametrize(
@@ -50,7 +50,9 @@
             "PUT",
             "/rpc/pick-submit/7f3a",
             {"Req-Token": "5c0f"},
-            ClientRequest(CALL.id, "pick-submit", "7f3a", wait_ms=1500.0, arrived_ms=5.0, write=True, token="5c0f"),
+            ClientRequest(
+                CALL.id, "pick-submit", "7f3a", wait_ms=1500.0, arrived_ms=5.0, write=True, idempotency_key="5c0f"
+            ),
         ),
     ],
 )
@@ -133,7 +135,9 @@
     [
         (AttemptRequest(CALL, 0, BACKEND, "", 900.9), {"X-Patience": "900", "X-Validator": "4be0"}),
         (
-            AttemptRequest(replace(CALL, tag="", token="5c"), 0, BACKEND, "s-1", 0.2, 2, 0.4, True, True, True),
+            AttemptRequest(
+                replace(CALL, etag="", idempotency_key="5c"), 0, BACKEND, "s-1", 0.2, 2, 0.4, True, True, True
+            ),
             {
                 "X-Patience": "1",
                 "X-Op-Key": "5c",
@@ -144,7 +148,7 @@
             },
         ),
         (
-            AttemptRequest(replace(CALL, tag=""), 0, BACKEND, "", 50.0, 0, 1999.9, True),
+            AttemptRequest(replace(CALL, etag=""), 0, BACKEND, "", 50.0, 0, 1999.9, True),
             {"X-Patience": "50", "X-Age-Cap": "1999", "X-Hints": "share"},
         ),
     ],
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -146,7 +146,7 @@
         assert (await asked)[0] in (503, 429, 504) and stand.counters["record.failed"] >= 1
         assert sum(len([s for s in d.seen if s[0].startswith("PUT")]) for d in stand.backends) == 0
         sent_log._pending = MAX_PENDING
-        assert await sent_log.note("7e") is False and stand.counters["record.full"] == 1
+        assert await sent_log.record_send("7e") is False and stand.counters["record.full"] == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_region_part.py
+++ b/tests/test_region_part.py
@@ -15,7 +15,7 @@
 from beechslip.clock import ManualClock, SystemClock
 from beechslip.config import Address, Config, ConfigError
 from beechslip.core.messages import PurgeReceived
-from beechslip.core.model import AttemptRequest, AttemptResult, Backend, ClientRequest, Result
+from beechslip.core.model import AttemptRequest, AttemptResult, AttemptResultKind, Backend, ClientRequest
 from beechslip.counters import Counters
 from beechslip.fleet.messages import Message
 from beechslip.fleet.settings import read_fleet
@@ -95,7 +95,7 @@
     """A region part that observes the attempts of the stand's engine."""
     part = RegionPart(node, stand.settings, stand.clock, stand.counters, stand.engine.post)
     stand.engine.services.observer = part
-    part.follow(stand.engine._endpoints.backends.values())
+    part.update_backends(stand.engine._endpoints.backends.values())
     return part
 
 
@@ -119,16 +119,16 @@
         assert nodes[0].sizes == {"cache:edge-1": 2, "hub:north": 1}
         await stand.ask()
         assert nodes[0].evidence.statistics(stand.clock.steady_ms())["cache:edge-1"].attempts > 0
-        assert regions.oldest_ms("a") == float("inf")
+        assert regions.max_copy_age_ms("a") == float("inf")
         now_ms = stand.clock.steady_ms()
         regions.receive(now_ms, order_datagram(1, RegionStatus(RegionState.OUT, 0, 1)))
         await until(lambda: stand.module.slow_start.region_shares == {"a": 0.0, "b": 0.0})
-        regions.purged(PurgeReceived("x", 0, 0.0))
+        regions.purge_received(PurgeReceived("x", 0, 0.0))
         now_ms = stand.clock.steady_ms()
         regions.receive(now_ms, order_datagram(2, RegionStatus(RegionState.RETURNING, 4, 1)))
         stand.clock.advance(300)
-        assert regions.oldest_ms("a", "hub") == pytest.approx(300.0)
-        assert regions.oldest_ms("hub") == float("inf")
+        assert regions.max_copy_age_ms("a", "hub") == pytest.approx(300.0)
+        assert regions.max_copy_age_ms("hub") == float("inf")
         await until(lambda: stand.module.slow_start.region_shares == {})
         await stand.ask(target="/rpc/waveform/1?slice=0")
         headers = [fields for backend in backends[:2] for _, fields, _ in backend.seen]
@@ -154,7 +154,7 @@
     ],
 )
 def test_a_failed_attempt_is_the_fault_of_backend_or_source(
-    result: Result, source: str, note: str, blamed: set[str]
+    result: AttemptResultKind, source: str, note: str, blamed: set[str]
 ) -> None:
     nodes, _ = make_nodes(1)
     clock = ManualClock()
@@ -169,8 +169,8 @@
         n: Backend(n, "x", kind, zone)
         for n, kind, zone in (("a", "std-box", "edge-1"), ("hub", "parent", "north"), ("archive", "origin", "north"))
     }
-    regions.follow(backends.values())
-    regions.ended(
+    regions.update_backends(backends.values())
+    regions.attempt_ended(
         AttemptRequest(ClientRequest("r", "waveform", "x"), 0, backends["a"], source, 1.0),
         AttemptResult(result, note),
         50.0,
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -15,7 +15,7 @@
 
 from beechslip.config import ConfigError, read_config, reread_config
 from beechslip.core.messages import SettingsChanged
-from beechslip.core.settings_transition import TRANSITION_MS, stricter_of_both
+from beechslip.core.settings_transition import TRANSITION_MS, stricter_settings
 from beechslip.proxy import Proxy
 from beechslip.routing import interface as i
 from beechslip.routing.wire.settings import read_settings
@@ -46,7 +46,7 @@
 )
 def test_until_new_settings_bind_the_stricter_rule_holds(old: Any, new: Any, both: Any) -> None:
     one, two = (replace(BEFORE, classes={"c": rule("c", *how)}) for how in (old, new))
-    both_rules = stricter_of_both(one, two).classes["c"]
+    both_rules = stricter_settings(one, two).classes["c"]
     assert (both_rules.effect, both_rules.group, both_rules.window) == both
 
 
@@ -54,7 +54,7 @@
 def test_until_new_settings_bind_classes_of_both_hold_and_the_fewer_attempts(old: int, new: int, both: int) -> None:
     one = replace(BEFORE, max_attempts=old, classes={"a": rule("a"), "b": rule("b")})
     two = replace(BEFORE, max_attempts=new, classes={"b": rule("b"), "c": rule("c")}, tells="all")
-    both_rules = stricter_of_both(one, two)
+    both_rules = stricter_settings(one, two)
     assert (
         sorted(both_rules.classes) == ["a", "b", "c"]
         and both_rules.max_attempts == both
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -168,10 +168,12 @@
 async def test_an_attempt_stopped_before_its_first_step_still_ends() -> None:
     # Its task runs none of its code then; unreported, the module would count it as out for good.
     async with Stand(*boxes(), module=(plan := Plan("a"))) as stand:
-        response_sink: Any = type("Sink", (), {"answer": staticmethod(lambda final: None), "departed": False})()
+        response_sink: Any = type(
+            "Sink", (), {"answer": staticmethod(lambda final: None), "has_client_departed": False}
+        )()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
-        stand.engine.step(RequestReceived(call, stand.client, response_sink))
-        stand.engine.step(ClientDisconnected("1", response_sink))
+        stand.engine.handle_message(RequestReceived(call, stand.client, response_sink))
+        stand.engine.handle_message(ClientDisconnected("1", response_sink))
         await until(lambda: any(isinstance(event, i.Outcome) for event in plan.heard))
         assert not stand.engine._attempts.in_flight and not stand.backends[0].seen
 
@@ -184,10 +186,12 @@
     async with Stand(*boxes(), module=plan) as stand:
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
-        response_sink: Any = type("Sink", (), {"answer": staticmethod(final.set_result), "departed": False})()
-        stand.engine.step(RequestReceived(call, stand.client, response_sink))
+        response_sink: Any = type(
+            "Sink", (), {"answer": staticmethod(final.set_result), "has_client_departed": False}
+        )()
+        stand.engine.handle_message(RequestReceived(call, stand.client, response_sink))
         leaving = next(backend for backend in stand.backends if backend.name == drained).entry("draining")
-        stand.engine.step(EndpointListUpdate("changes", (leaving,)))
+        stand.engine.handle_message(EndpointListUpdate("changes", (leaving,)))
         assert (await final).kind == "failed"
         assert not any(backend.seen for backend in stand.backends) and stand.counters["attempt.moot"] == 1
 
@@ -197,7 +201,9 @@
     async with Stand(*boxes()) as stand:
         home, other = stand.home()
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
-        response_sink: Any = type("Sink", (), {"answer": staticmethod(final.set_result), "departed": False})()
+        response_sink: Any = type(
+            "Sink", (), {"answer": staticmethod(final.set_result), "has_client_departed": False}
+        )()
         call = ClientRequest("1", "waveform", "7f3a", group=4, wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
         stand.engine.post(RequestReceived(call, stand.client, response_sink))
         stand.engine.post(PurgeReceived("", 4, stand.clock.now_ms() - 200))
@@ -249,10 +255,10 @@
     async with Stand(module=Plan()) as stand:
         for n in range(50):
             response_sink: Any = type(
-                "Answerer", (), {"answer": staticmethod(lambda final: None), "departed": False}
+                "Answerer", (), {"answer": staticmethod(lambda final: None), "has_client_departed": False}
             )()
             call = ClientRequest(str(n), "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
-            stand.engine.step(RequestReceived(call, stand.client, response_sink))
+            stand.engine.handle_message(RequestReceived(call, stand.client, response_sink))
         lines = [line for line in caplog.messages if " failed after " in line]
         assert stand.counters["answered.failed"] == 50 and len(lines) == 20
 
@@ -264,7 +270,7 @@
         await until(lambda: stand.backends[0].seen)
         asked.cancel()
         await until(lambda: stand.backends[0].closed)
-        await until(stand.engine.quiet.is_set)
+        await until(stand.engine.no_requests_open.is_set)
         assert stand.counters["left"] == 1 and not stand.engine._attempts.in_flight
         assert any(isinstance(event, i.ClientGone) for event in stand.module.heard)
 
--- a/tests/test_service_by_size.py
+++ b/tests/test_service_by_size.py
@@ -14,7 +14,7 @@
 from beechslip.core.messages import RequestReceived
 from beechslip.core.model import ClientRequest, FinalResponse
 from beechslip.core.requests import OpenRequest
-from beechslip.core.responses import MAX_LOG_LINES, Responder
+from beechslip.core.responses import MAX_LOG_LINES_PER_PERIOD, Responder
 from beechslip.counters import Counters
 from beechslip.routing.wire.settings import read_settings
 from bench import service_by_size
@@ -58,7 +58,7 @@
 
 
 def test_at_the_usual_level_only_what_is_not_served_has_a_line(caplog: pytest.LogCaptureFixture) -> None:
-    assert len(write_lines(caplog, logging.INFO)) == 4 < MAX_LOG_LINES
+    assert len(write_lines(caplog, logging.INFO)) == 4 < MAX_LOG_LINES_PER_PERIOD
 
 
 def test_classes_without_sizes_have_no_shares() -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -86,7 +86,7 @@
     async def ask() -> list[object]:
         record = open_sent_request_log(settings, SystemClock(), Counters())
         assert record is not None
-        found: list[object] = [await record.note(token) for token in ("5c01", "5c02", "5c03")]
+        found: list[object] = [await record.record_send(token) for token in ("5c01", "5c02", "5c03")]
         record.close()
         return found
 
