--- a/beechslip/core/__init__.py
+++ b/beechslip/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: requests, attempts and outcomes; it knows no wire."""
+"""The engine: clients' requests, their attempts and outcomes, independent of any wire protocol."""
--- a/beechslip/core/attempts.py
+++ b/beechslip/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: one task each, from the router's decision to the result that is posted to the engine."""
+"""Attempts in flight: each runs in a task of its own, and its result is posted to the engine."""
 
 from __future__ import annotations
 
@@ -22,23 +22,24 @@
 
 
 class InFlightAttempt:
-    """An attempt that is under way, with its task and its alarm. Times are in ms of ``Clock.now_ms``."""
+    """An attempt in flight, with its task and its timeout alarm. Times are in ms of ``Clock.now_ms``."""
 
     __slots__ = ("alarm", "may_have_been_sent", "requested_ms", "result", "sent_ms", "spec", "stop_reason", "task")
 
     def __init__(self, spec: AttemptRequest, requested_ms: float) -> None:
-        """An attempt that the router named at ``requested_ms``."""
+        """Create the attempt that the router requested at ``requested_ms``."""
         self.spec = spec
         self.requested_ms = requested_ms
-        self.sent_ms = requested_ms  # until its first byte, as a dial or a wait for a connection may pass
+        self.sent_ms = requested_ms  # updated at the first byte: dialling or waiting for a connection may take time
         self.may_have_been_sent = False  # whether its first byte may have been sent
         self.stop_reason: AttemptResultKind | None = None
-        self.result = AttemptResult("moot")  # a task that is cancelled before its first step runs none of its code
+        # This result stands if the task is cancelled before its first step, as none of its code runs then.
+        self.result = AttemptResult("moot")
         self.task: asyncio.Task[None] | None = None
         self.alarm: Alarm | None = None
 
     def stop(self, reason: AttemptResultKind) -> None:
-        """Give the attempt up. Its result is still posted; a second call changes nothing."""
+        """Cancel the attempt for ``reason``. Its result is still posted; a second call has no effect."""
         if self.stop_reason is not None:
             return
         self.stop_reason = reason
@@ -48,36 +49,46 @@
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """Posted to the engine: an attempt has ended, and its connection has been given back."""
+    """Posted to the engine when an attempt has ended and its connection has been given back."""
 
     attempt: InFlightAttempt
     result: AttemptResult
 
 
 def to_outcome_event(
-    spec: AttemptRequest, result: AttemptResult, elapsed_ms: float, request_ended: bool
+    spec: AttemptRequest, result: AttemptResult, elapsed_ms: float, has_request_ended: bool
 ) -> interface.Outcome:
-    """The router's event for the end of an attempt. ``elapsed_ms``: on the wire, from first byte to last."""
+    """Return the router's event for the end of an attempt.
+
+    ``elapsed_ms`` is the time on the wire, from the first byte sent to the last byte received.
+    """
     return interface.Outcome(
         request=spec.client_request.id,
         attempt=spec.number,
         backend=spec.backend.name,
-        # The router has no result for a spoilt answer. Of its own, "cancelled" is the one after which the
-        # request may have run while no backend is blamed: such answers come from all alike.
+        # The router has no result for an unusable response. "cancelled" is the one of its results after which the
+        # request may have run and no backend is blamed: all backends alike send unusable responses.
         result="cancelled" if result.result == "spoilt" else result.result,
         elapsed=to_seconds(elapsed_ms),
-        finished=request_ended or result.result == "ok",
+        finished=has_request_ended or result.result == "ok",
         note=result.note,
         report=result.report,
     )
 
 
 class AttemptRunner:
-    """Owns the attempts in flight. Counts ``sent``, ``attempt.RESULT``, ``unrecorded`` and ``fault.carrier``."""
+    """Starts attempts and owns those in flight.
+
+    Increments the counters ``sent``, ``attempt.RESULT``, ``unrecorded`` and ``fault.carrier``, and those of
+    ``guards.VERDICT_COUNTERS``.
+    """
 
     def __init__(self, state: GuardState, clock: Clock, counters: Counters, post: Callable[[object], None]) -> None:
-        """``state``: the tables that the guards look at; ``post``: the engine's queue."""
-        self.in_flight: dict[tuple[str, int], InFlightAttempt] = {}  # by request id and number of the attempt
+        """Create a runner without attempts.
+
+        ``state`` holds the tables that the guards read; ``post`` puts a message into the engine's queue.
+        """
+        self.in_flight: dict[tuple[str, int], InFlightAttempt] = {}  # by request id and attempt number
         self._state = state
         self._services = state.services
         self._clock = clock
@@ -85,7 +96,7 @@
         self._post = post
 
     def start(self, request: OpenRequest, action: interface.Attempt, settings: Settings) -> None:
-        """Begin an attempt as the router names it; one that a guard forbids ends as not attempted."""
+        """Start the attempt that the router requests; one that a guard forbids ends with the result "moot"."""
         number = request.attempts_requested
         request.attempts_requested += 1
         backend = self._state.backends.get(action.backend)
@@ -98,13 +109,13 @@
         request.attempt = self.in_flight[action.request, number] = attempt
         attempt.alarm = self._clock.call_later(spec.timeout_ms, lambda: attempt.stop("timeout"))
         attempt.task = asyncio.get_running_loop().create_task(self._run(request, attempt))
-        # Not posted by the task itself: cancelled before its first step it would end unnoticed, and the router
-        # would count the attempt as in flight for good.
+        # The task does not post its result itself: if it were cancelled before its first step, it would end without
+        # a result, and the router would count the attempt as in flight for good.
         attempt.task.add_done_callback(lambda _: self._post(AttemptFinished(attempt, attempt.result)))
         self._counters.add("sent")
 
     def finish(self, attempt: InFlightAttempt, result: AttemptResult) -> OpenRequest | None:
-        """Take an attempt out of flight; returns its request if that is open still."""
+        """Remove an attempt from those in flight and return its request, or None if that is no longer open."""
         spec = attempt.spec
         self.in_flight.pop((spec.client_request.id, spec.number), None)
         if attempt.alarm is not None:
@@ -120,14 +131,14 @@
         return request
 
     def keep_in_flight(self, attempt: InFlightAttempt, hold_ms: float) -> None:
-        """Count an attempt that has ended as in flight for ``hold_ms`` more; the router learns nothing from it."""
+        """Count an attempt that has ended as in flight for another ``hold_ms``; the router learns nothing from it."""
         # "moot" is the result from which the router learns nothing.
         message = AttemptFinished(attempt, AttemptResult("moot"))
         self.in_flight[attempt.spec.client_request.id, attempt.spec.number] = attempt
         self._clock.call_later(hold_ms, lambda: self._post(message))
 
     def notify_services(self, attempt: InFlightAttempt, result: AttemptResult, elapsed_ms: float) -> None:
-        """Let the optional services see how an attempt ended."""
+        """Pass the result of an attempt to the optional services."""
         gate, observer = self._services.quota_gate, self._services.observer
         if attempt.may_have_been_sent and gate is not None:
             gate.attempt_ended(attempt.spec, result)
@@ -135,7 +146,7 @@
             observer.attempt_ended(attempt.spec, result, elapsed_ms)
 
     def cancel_all(self) -> list[asyncio.Task[None]]:
-        """Cancel all that is in flight; returns the tasks, for the caller to await."""
+        """Cancel all attempts in flight and return their tasks, for the caller to await."""
         tasks = [attempt.task for attempt in self.in_flight.values() if attempt.task]
         for task in tasks:
             task.cancel()
@@ -149,7 +160,7 @@
     def _build_attempt_request(
         self, request: OpenRequest, number: int, backend: Backend, action: interface.Attempt, now_ms: float
     ) -> AttemptRequest:
-        """What is to be carried out, with the limits of the optional services."""
+        """Return the request for an attempt, with the limits of the optional services applied."""
         time_left_ms = request.deadline_ms - now_ms
         timeout_ms = min(to_ms(action.timeout) or time_left_ms, time_left_ms)
         if self._services.quota_gate is not None:
@@ -171,7 +182,7 @@
         )
 
     def _max_age_ms(self, request: OpenRequest, action: interface.Attempt) -> float:
-        """How old a copy may be by the router's and the observer's limits (0: no limit)."""
+        """Return the greatest age of a copy that the router and the observer both allow (0: no limit)."""
         max_age_ms = to_ms(action.max_age)
         if self._services.observer is None or request.client_request.write:
             return max_age_ms
@@ -179,9 +190,10 @@
         return min(max_age_ms or limit_ms, limit_ms) if limit_ms < math.inf else max_age_ms
 
     def _may_send(self, request: OpenRequest, attempt: InFlightAttempt) -> bool:
-        """Asked by the executor right before the first byte, and again where that could not be sent at once.
+        """Check the send guards, and mark the attempt as sent if they allow it.
 
-        The attempt counts as sent once.
+        The executor calls this right before the first byte, and again if that byte could not be sent at once. The
+        attempt is counted as sent only once.
         """
         now_ms = self._clock.now_ms()
         verdict = guards.check_send_guards(self._state, request, attempt, now_ms)
@@ -202,30 +214,39 @@
                 return
             attempt.result = await request.executor.execute(attempt.spec, lambda: self._may_send(request, attempt))
         except asyncio.CancelledError:
-            # What never came to its first byte proves that nothing ran, and says nothing of the backend.
+            # An attempt whose first byte was not sent has certainly not run, and says nothing about the backend.
             attempt.result = AttemptResult(
                 (attempt.stop_reason or "cancelled") if attempt.may_have_been_sent else "moot"
             )
         except Exception:
-            # Guards against a request that hangs because the result of its attempt was never posted.
+            # Without a result of its own, the attempt would count as not sent, and if no result at all were posted,
+            # its request would hang.
             self._counters.add("fault.carrier")
-            log.exception("attempt %s/%d", attempt.spec.client_request.id, attempt.spec.number)
+            log.exception(
+                "attempt failed with an exception: request=%s attempt=%d",
+                attempt.spec.client_request.id,
+                attempt.spec.number,
+            )
             attempt.result = AttemptResult("error")
 
     async def _record_send(self, sent_log: SentRequestLog, request: OpenRequest) -> bool:
-        """Whether the request may be sent by the log of sent requests; what could not be recorded may not."""
-        rule, token = request.rule, request.client_request.idempotency_key
-        if request.is_recorded or not token or rule is None or rule.effect != "keyed":
+        """Record a keyed request in the sent-request log and return whether it may be sent.
+
+        A keyed request that could not be recorded may not be sent, nor one that the log holds already if its
+        backends may no longer discard a repeat. Requests of other classes need no record.
+        """
+        rule, idempotency_key = request.rule, request.client_request.idempotency_key
+        if request.is_recorded or not idempotency_key or rule is None or rule.effect != "keyed":
             return True
-        found = await sent_log.record_send(token)
-        request.is_recorded = found is not False
-        if isinstance(found, PreviousSend):
+        recorded = await sent_log.record_send(idempotency_key)
+        request.is_recorded = recorded is not False
+        if isinstance(recorded, PreviousSend):
             first_ms = request.first_possible_run_ms
-            first_ms = found.sent_ms if first_ms is None else min(first_ms, found.sent_ms)
+            first_ms = recorded.sent_ms if first_ms is None else min(first_ms, recorded.sent_ms)
             request.first_possible_run_ms = first_ms
             if guards.check_keyed_repeat(rule, first_ms, self._clock.now_ms()) is not ALLOWED:
                 self._post(RepeatForbidden(request))
                 return False
-        elif found is False:
+        elif recorded is False:
             self._counters.add("unrecorded")
         return request.is_recorded
--- a/beechslip/core/endpoint_table.py
+++ b/beechslip/core/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The backends that the endpoint list names, with their start times on this process's clock."""
+"""The backends of the endpoint list, with their start times on this process's clock."""
 
 from __future__ import annotations
 
@@ -12,27 +12,30 @@
 
 log = logging.getLogger("beechslip.engine")
 
-MAX_LOGGED_BACKENDS = 256  # a longer list is logged in one line: thousands of lines would hold up the event loop
+MAX_LOGGED_BACKENDS = 256  # a longer list is logged in one line: thousands of lines would block the event loop
 
 
 class EndpointTable:
-    """Every backend that is listed now. ``backends`` is one dictionary for the table's whole lifetime."""
+    """The backends that are listed now.
+
+    ``backends`` is the same dictionary for the whole lifetime of the table, so that others can keep a view of it.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """``clock`` is the one on which start times are placed."""
+        """Create an empty table; start times are converted to ``clock``."""
         self.backends: dict[str, Backend] = {}  # by name, draining ones included
         self._clock = clock
         self._start_times: dict[
             str, tuple[float, float]
-        ] = {}  # by name: the start as dated by the list, and on this clock
+        ] = {}  # by name: the start time as given in the list, and on this clock
 
     def apply(self, update: EndpointListUpdate) -> tuple[Backend, ...]:
-        """Take up a list or its changes; returns the update's backends with start times on this clock."""
+        """Apply a complete list or changes to it, and return the update's backends with start times on this clock."""
         if update.kind != "changes":
             self.backends.clear()
             listed = {backend.name for backend in update.backends}
             self._start_times = {name: start for name, start in self._start_times.items() if name in listed}
-        backends = tuple(self._on_this_clock(backend) for backend in update.backends)
+        backends = tuple(self._with_local_start_time(backend) for backend in update.backends)
         for backend in backends:
             if backend.state == "gone":
                 self.backends.pop(backend.name, None)
@@ -42,11 +45,11 @@
         _log_backends(update.kind, backends)
         return backends
 
-    def _on_this_clock(self, backend: Backend) -> Backend:
-        """The backend with its start on this clock.
+    def _with_local_start_time(self, backend: Backend) -> Backend:
+        """Return the backend with its start time on this clock.
 
-        Each start is placed once, when it is first received: placed again after a step of the wall clock it
-        would look like another start.
+        Each start time is converted once, when it is first received. Converted again after a step of the wall clock,
+        it would differ and look like another start.
         """
         if backend.started_ms <= 0:
             return backend
@@ -58,7 +61,7 @@
 
 
 def to_endpoint_list_event(kind: interface.ListKind, backends: tuple[Backend, ...]) -> interface.EndpointList:
-    """The router's event for an endpoint list whose start times are on this clock."""
+    """Return the router's event for an endpoint list whose start times are on this clock."""
     entries = tuple(
         interface.Endpoint(
             backend=backend.name,
@@ -76,11 +79,11 @@
 
 def _log_backends(kind: str, backends: tuple[Backend, ...]) -> None:
     if len(backends) > MAX_LOGGED_BACKENDS:
-        log.info("%d backends listed (%s)", len(backends), kind)
+        log.info("endpoint list received: %d backends (%s)", len(backends), kind)
         return
     for backend in backends:
         log.info(
-            "backend %s %s %s %s %s weight %g since %.0f",
+            "backend listed: name=%s address=%s zone=%s kind=%s state=%s weight=%g started_ms=%.0f",
             backend.name,
             backend.address,
             backend.zone,
--- a/beechslip/core/engine.py
+++ b/beechslip/core/engine.py
@@ -1,9 +1,9 @@
 """The engine: one task that owns the router, the open requests and their attempts.
 
-Everything reaches it through its queue; what the router decides goes out through the protocols of ``model``.
-It decides nothing itself. It keeps what must hold whatever the router does: one final response to each request
-and in time, one attempt at a time, no more attempts than permitted, and nothing new to or through a backend
-that drains.
+All input reaches the engine as messages in its queue; it carries out the router's decisions through the protocols in
+``beechslip.core.model``. The engine makes no routing decisions itself. It enforces what must hold whatever the router
+does: each request gets one final response, in time; a request has one attempt at a time, and no more attempts than
+permitted; and nothing new goes to or through a draining backend.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 
 log = logging.getLogger("beechslip.engine")
 
-DEFAULT_MAX_OPEN_REQUESTS = 20_000  # where the settings give no number
-LATE_FAILURE_MARGIN_MS = 1.0  # a failure this shortly before the deadline is put down to the deadline
+DEFAULT_MAX_OPEN_REQUESTS = 20_000  # used if the settings give no limit
+LATE_FAILURE_MARGIN_MS = 1.0  # a failure at most this long before the deadline is attributed to the deadline
 
 
 class Engine:
-    """Owns the router module. ``post`` is the one way in; ``run`` is to be one task."""
+    """Owns the router module. All messages come in through ``post``; ``run`` handles them and must be one task."""
 
     def __init__(
         self,
@@ -55,17 +55,20 @@
         observer: AttemptObserver | None = None,
         sent_log: SentRequestLog | None = None,
     ) -> None:
-        """The last three are optional services: None where the operators' files leave them off."""
+        """Create an engine without open requests.
+
+        The last three parameters are the optional services; a service that the operators' files leave off is None.
+        """
         self.settings = settings
         self.clock = clock
         self.counters = counters
         self.services = OptionalServices(quota_gate, observer, sent_log)
-        self.listed = asyncio.Event()  # set once a whole list has been applied
+        self.listed = asyncio.Event()  # set once a complete endpoint list has been applied
         self._router = router
         self._urgent_queue: deque[object] = deque()
         self._ordinary_queue: deque[object] = deque()
         self._message_posted = asyncio.Event()
-        self._last_router_time_s = 0.0  # the router's time: seconds of the clock, never less than before
+        self._last_router_time_s = 0.0  # the time last passed to the router, in seconds; it never decreases
         self._requests = OpenRequestTable()
         self.no_requests_open = self._requests.idle  # set while no request is open
         self._endpoints = EndpointTable(clock)
@@ -76,14 +79,18 @@
         self._responder = Responder(clock, counters)
 
     def post(self, message: object) -> None:
-        """Queue a message. Purges, lists and settings overtake queued requests, as rules count from them."""
-        urgent = isinstance(message, (EndpointListUpdate, PurgeReceived, SettingsChanged))
-        queue = self._urgent_queue if urgent else self._ordinary_queue
+        """Queue a message.
+
+        Endpoint lists, purges and settings are handled before all other queued messages, requests included, because
+        rules apply from the moment at which they arrive.
+        """
+        is_urgent = isinstance(message, (EndpointListUpdate, PurgeReceived, SettingsChanged))
+        queue = self._urgent_queue if is_urgent else self._ordinary_queue
         queue.append(message)
         self._message_posted.set()
 
     async def run(self) -> None:
-        """Handle messages until cancelled; then cancel the attempts and health checks, and await them."""
+        """Handle messages until cancelled; then cancel all attempts and health checks and wait for them to end."""
         try:
             self._notify_router(None, None)
             while True:
@@ -96,7 +103,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def handle_message(self, message: object) -> None:
-        """Handle one message now, ahead of those that are queued."""
+        """Handle one message now, before those that are queued."""
         try:
             match message:
                 case RequestReceived():
@@ -123,16 +130,17 @@
                 case RepeatForbidden():
                     self._fail_open_request(message.request, "sent_before", "sent before")
         except Exception:
-            # Guards against an engine task that dies of one bad message and leaves all requests unanswered.
+            # One bad message must not end the engine's task: all requests would go unanswered.
             self.counters.add("fault.engine")
-            log.exception("engine: %s", type(message).__name__)
+            log.exception("engine failed to handle a message: type=%s", type(message).__name__)
 
     # The router module ----------------------------------------------------------------------------
 
     def _notify_router(self, request_id: str | None, event: interface.Event | None) -> None:
-        """Have the router handle an event (None: its start), and carry out its actions.
+        """Pass an event to the router, or start the router if ``event`` is None, and execute the actions it returns.
 
-        If it raises, the request concerned has failed; requests that it may have forgotten by that expire.
+        If the router raises an exception, the request ``request_id`` fails. Other requests that the router may have
+        lost track of because of the exception end when they expire.
         """
         now_s = to_seconds(self.clock.now_ms())
         if now_s < self._last_router_time_s:
@@ -142,7 +150,7 @@
             actions = self._router.start(now_s) if event is None else self._router.handle(now_s, event)
         except Exception:
             self.counters.add("fault.module")
-            log.exception("router: request %s", request_id)
+            log.exception("router failed to handle an event: request=%s", request_id)
             request = self._requests.by_id.get(request_id) if request_id else None
             if request is not None:
                 self._finish_request(request, FinalResponse("failed", cause="fault"))
@@ -174,17 +182,17 @@
     def _start_attempt(self, action: interface.Attempt) -> None:
         request = self._requests.by_id.get(action.request)
         if request is None:
-            # The request has ended and its number is not known here: what the router counts is enough.
+            # The request has ended, so the attempt's number is not known here; the router's own count is enough.
             self.counters.add("attempt.late")
             return
         self._attempts.start(request, action, self.settings)
 
     def _refuse(self, action: interface.Refuse) -> None:
-        """Refuse a request; it fails where it can't be promised that a retry does no harm."""
+        """Refuse a request, or fail it if there is no guarantee that a retry does no harm."""
         request = self._requests.by_id.get(action.request)
         if request is None:
             return
-        if request.refusal_is_safe():
+        if request.is_refusal_safe():
             retry_after_ms = to_ms(action.retry_after)
             response = FinalResponse("refused", retry_after_ms=retry_after_ms, reason=action.reason)
             self._finish_request(request, response)
@@ -195,8 +203,10 @@
         request = self._requests.by_id.get(action.request)
         if request is None:
             return
-        late = self.clock.now_ms() >= request.deadline_ms - LATE_FAILURE_MARGIN_MS
-        self._finish_request(request, FinalResponse("failed", cause="deadline" if late else "", reason=action.reason))
+        is_late = self.clock.now_ms() >= request.deadline_ms - LATE_FAILURE_MARGIN_MS
+        self._finish_request(
+            request, FinalResponse("failed", cause="deadline" if is_late else "", reason=action.reason)
+        )
 
     # Requests -------------------------------------------------------------------------------------
 
@@ -205,7 +215,7 @@
         request = OpenRequest(received, self.settings)
         self.counters.add("taken")
         if client_request.id in self._requests.by_id or (client_request.id, 0) in self._attempts.in_flight:
-            # Two open requests of one id would share attempts, and one response would be lost.
+            # Two open requests with the same id would share attempts, and one of the responses would be lost.
             self._responder.respond(request, FinalResponse("failed", cause="duplicate"))
             return
         if len(self._requests.by_id) >= (self.settings.max_open_requests or DEFAULT_MAX_OPEN_REQUESTS):
@@ -230,7 +240,10 @@
     def _fail_open_request(
         self, request: OpenRequest, counter: str, cause: Literal["deadline", "sent before"]
     ) -> None:
-        """Fail a request that the router has left open, so that none goes unanswered."""
+        """Fail a request that the router has left open, so that no request goes unanswered.
+
+        Do nothing if the request has ended already.
+        """
         if not self._requests.holds(request):
             return
         self.counters.add(counter)
@@ -238,13 +251,13 @@
         self._stop_attempt_and_notify_router(request)
 
     def _on_shutdown(self) -> None:
-        """The router ends all that is open; what it leaves open fails."""
+        """Let the router end all open requests, and fail those that it leaves open."""
         self._notify_router(None, interface.Shutdown())
         for request in list(self._requests.by_id.values()):
             self._fail_open_request(request, "last_moment", "deadline")
 
     def _finish_request(self, request: OpenRequest, response: FinalResponse) -> None:
-        """Give the one final response."""
+        """Remove a request, send its one final response, and cancel its attempt in flight."""
         self._remove(request)
         self._responder.respond(request, response)
         if request.attempt is not None:
@@ -252,12 +265,12 @@
 
     def _remove(self, request: OpenRequest) -> None:
         self._requests.remove(request)
-        never_ran = request.first_possible_run_ms is None and request.attempt is None
-        if request.is_recorded and never_ran and self.services.sent_log is not None:
+        has_never_run = request.first_possible_run_ms is None and request.attempt is None
+        if request.is_recorded and has_never_run and self.services.sent_log is not None:
             self.services.sent_log.forget(request.client_request.idempotency_key)
 
     def _stop_attempt_and_notify_router(self, request: OpenRequest) -> None:
-        """Stop the attempt of a request that has ended without the router's decision, and tell the router."""
+        """Cancel the attempt of a request that has ended without a decision of the router, and notify the router."""
         if request.attempt is not None:
             request.attempt.stop("cancelled")
         self._notify_router(None, interface.ClientGone(request.client_request.id))
@@ -276,9 +289,9 @@
             return
         if request is not None and result.result == "ok":
             self._finish_request(request, FinalResponse("served", result.payload))
-        # On the wire, from first byte to last: waits in this process must not make a backend look slow.
+        # Only the time on the wire, from first byte to last: waits in this process must not make a backend look slow.
         elapsed_ms = max((result.ended_ms or now_ms) - attempt.sent_ms, 0.0)
-        outcome = to_outcome_event(spec, result, elapsed_ms, request_ended=request is None)
+        outcome = to_outcome_event(spec, result, elapsed_ms, has_request_ended=request is None)
         self._attempts.notify_services(attempt, result, elapsed_ms)
         self._responder.log_attempt(spec, result, elapsed_ms)
         self._notify_router(spec.client_request.id, outcome)
--- a/beechslip/core/guards.py
+++ b/beechslip/core/guards.py
@@ -1,8 +1,8 @@
-"""The checks that an attempt must pass whatever the router decides, each a function of its own.
+"""The checks that an attempt must pass whatever the router decides. Each check is a function, called a guard.
 
-``START_GUARDS`` are asked when the router names an attempt, ``SEND_GUARDS`` right before its first byte, as
-dialling and waiting for a connection take time, and again where that byte could not be sent at once. The clauses are
-those of ``docs/terms-audit.md``.
+``START_GUARDS`` are checked when the router requests an attempt. ``SEND_GUARDS`` are checked right before the
+attempt's first byte, because dialling and waiting for a connection take time, and again if that byte could not be
+sent at once. Clause numbers are those of ``docs/terms-audit.md``.
 """
 
 from __future__ import annotations
@@ -22,12 +22,13 @@
 if TYPE_CHECKING:
     from beechslip.core.attempts import InFlightAttempt
 
-# A keyed repeat is written at least this long before its window ends, or the backend would get it after that.
+# A repeat of a keyed request is sent only if more than this is left of its repeat window; sent later, it could reach
+# the backend after the window.
 REPEAT_WINDOW_MARGIN_MS = 20.0
 
 
 class GuardVerdict(Enum):
-    """What a guard says of an attempt; all but ``ALLOWED`` forbid it."""
+    """What a guard decides about an attempt; every verdict but ``ALLOWED`` forbids it."""
 
     ALLOWED = auto()
     ATTEMPTS_EXHAUSTED = auto()
@@ -44,17 +45,16 @@
     QUOTA_EXHAUSTED = auto()
 
 
-ALLOWED = (
-    GuardVerdict.ALLOWED
-)  # as a global: each attempt looks it up some twenty times, and members of enums are slow
+# A global, because each attempt looks this member up about twenty times, and looking up members of enums is slow.
+ALLOWED = GuardVerdict.ALLOWED
 
-# Verdicts that are counted, and under which name.
+# The verdicts that are counted, with the names of their counters.
 VERDICT_COUNTERS = {GuardVerdict.CLIENT_DEPARTED: "departed", GuardVerdict.PURGED_SINCE: "purged_before_sending"}
 
 
 @dataclass(frozen=True, slots=True)
 class GuardState:
-    """What the send guards look at: the engine's own tables, not copies."""
+    """What the send guards read: the engine's own tables, not copies."""
 
     requests: OpenRequestTable
     backends: Mapping[str, Backend]
@@ -65,67 +65,71 @@
 StartGuard: TypeAlias = Callable[[OpenRequest, Settings], GuardVerdict]
 SendGuard: TypeAlias = Callable[[GuardState, OpenRequest, "InFlightAttempt", float], GuardVerdict]
 
-# When the router names an attempt ------------------------------------------------------------------
+# Start guards: when the router requests an attempt --------------------------------------------------
 
 
 def attempts_remain(request: OpenRequest, settings: Settings) -> GuardVerdict:
-    """No more attempts are sent than the settings allow, those at its arrival and those now (clause 4.10)."""
-    cap = min(request.max_attempts, settings.max_attempts or DEFAULT_MAX_ATTEMPTS)
-    return GuardVerdict.ATTEMPTS_EXHAUSTED if request.attempts_sent >= cap else ALLOWED
+    """Forbid a request more attempts than the settings at its arrival or the present ones allow (clause 4.10).
+
+    The lower limit of the two holds.
+    """
+    limit = min(request.max_attempts, settings.max_attempts or DEFAULT_MAX_ATTEMPTS)
+    return GuardVerdict.ATTEMPTS_EXHAUSTED if request.attempts_sent >= limit else ALLOWED
 
 
 def no_attempt_in_flight(request: OpenRequest, settings: Settings) -> GuardVerdict:
-    """A request has one attempt at a time, unless the settings allow hedging (clause 4.6)."""
-    in_flight = request.attempt is not None and not settings.hedging
-    return GuardVerdict.ATTEMPT_IN_FLIGHT if in_flight else ALLOWED
+    """Forbid a second attempt in flight for a request, unless the settings allow hedging (clause 4.6)."""
+    is_forbidden = request.attempt is not None and not settings.hedging
+    return GuardVerdict.ATTEMPT_IN_FLIGHT if is_forbidden else ALLOWED
 
 
-# Right before the first byte -----------------------------------------------------------------------
+# Send guards: right before the first byte -----------------------------------------------------------
 
 
 def attempt_is_wanted(
     state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float
 ) -> GuardVerdict:
-    """Nothing is sent for an attempt that was given up (clause 3.28)."""
+    """Forbid sending for an attempt that was stopped (clause 3.28)."""
     return ALLOWED if attempt.stop_reason is None else GuardVerdict.ATTEMPT_STOPPED
 
 
 def request_is_open(state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float) -> GuardVerdict:
-    """Nothing is sent for a request that has had its final response (clause 4.2)."""
+    """Forbid sending for a request that has had its final response (clause 4.2)."""
     return ALLOWED if state.requests.by_id.get(request.client_request.id) is request else GuardVerdict.REQUEST_ENDED
 
 
 def client_is_present(
     state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float
 ) -> GuardVerdict:
-    """Nothing is sent for a client that has closed its connection (clauses 1.19, 1.20 and 2.4)."""
+    """Forbid sending for a client that has closed its connection (clauses 1.19, 1.20 and 2.4)."""
     return GuardVerdict.CLIENT_DEPARTED if request.response_sink.has_client_departed else ALLOWED
 
 
 def no_purge_since(state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float) -> GuardVerdict:
-    """A purge since the attempt was named outdates its age limit (clause 3.30).
+    """Forbid sending if a purge has arrived since the router requested the attempt (clause 3.30).
 
-    The router names the attempt anew, with a limit that holds.
+    The purge makes the attempt's age limit for copies outdated. The router then requests a new attempt with a valid
+    limit. Writes are not affected.
     """
     if request.client_request.write:
         return ALLOWED
-    purged = state.purges.purged_since(request.client_request, attempt.requested_ms)
-    return GuardVerdict.PURGED_SINCE if purged else ALLOWED
+    is_purged = state.purges.purged_since(request.client_request, attempt.requested_ms)
+    return GuardVerdict.PURGED_SINCE if is_purged else ALLOWED
 
 
 def backend_is_ready(
     state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float
 ) -> GuardVerdict:
-    """Nothing new goes to a backend that drains, has gone, or has another address now (clauses 3.14, 3.29, 4.7)."""
-    named = attempt.spec.backend
-    listed = state.backends.get(named.name)
-    if listed is None or listed.state != "ready" or listed.address != named.address:
+    """Forbid sending to a backend that is draining, gone, or listed at another address (clauses 3.14, 3.29, 4.7)."""
+    requested = attempt.spec.backend
+    listed = state.backends.get(requested.name)
+    if listed is None or listed.state != "ready" or listed.address != requested.address:
         return GuardVerdict.BACKEND_NOT_READY
     return ALLOWED
 
 
 def source_is_ready(state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float) -> GuardVerdict:
-    """Nothing new is filled from a backend that drains or has gone (clause 4.7)."""
+    """Forbid a fill from a source that is draining or gone (clause 4.7)."""
     name = attempt.spec.source
     if not name:
         return ALLOWED
@@ -136,7 +140,10 @@
 def repeat_is_discarded(
     state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float
 ) -> GuardVerdict:
-    """What may have run is sent again only where, and while, all backends discard it (clauses 4.3 and 4.4)."""
+    """Forbid a repeat of a request that may have run, unless it does no harm (clauses 4.3 and 4.4).
+
+    A repeat does no harm if the class is safe, or if it is keyed and all backends still discard the repeat.
+    """
     rule = request.rule
     if request.first_possible_run_ms is None or rule is None or rule.effect == "safe":
         return ALLOWED
@@ -146,12 +153,15 @@
 
 
 def before_deadline(state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float) -> GuardVerdict:
-    """Nothing is sent that could not be answered in time (clause 4.1)."""
+    """Forbid sending after the request's deadline, as the response could not be in time (clause 4.1)."""
     return ALLOWED if now_ms < request.deadline_ms else GuardVerdict.DEADLINE_PASSED
 
 
 def quota_is_left(state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float) -> GuardVerdict:
-    """The fleet's quotas have room for the attempt (clause 4.8); this spends of them, once for each attempt."""
+    """Forbid an attempt for which the fleet-wide quotas have no room (clause 4.8).
+
+    If they have room, this spends quota, only once for each attempt.
+    """
     gate = state.services.quota_gate
     if attempt.may_have_been_sent or gate is None or gate.spend(attempt.spec, request.attempts_sent > 0):
         return ALLOWED
@@ -159,7 +169,10 @@
 
 
 def check_keyed_repeat(rule: ClassRule, first_possible_run_ms: float, now_ms: float) -> GuardVerdict:
-    """Whether every backend still discards a repeat of a keyed request that may have run (clause 4.4)."""
+    """Forbid a repeat of a keyed request that may have run, unless every backend still discards it (clause 4.4).
+
+    ``first_possible_run_ms`` is when the first attempt that may have run was sent.
+    """
     if rule.group != "all":
         return GuardVerdict.REPEAT_NOT_DISCARDED
     if now_ms >= first_possible_run_ms + to_ms(rule.window) - REPEAT_WINDOW_MARGIN_MS:
@@ -169,7 +182,7 @@
 
 START_GUARDS: tuple[StartGuard, ...] = (attempts_remain, no_attempt_in_flight)
 
-# In this order: the first that forbids an attempt is the one that is counted, and the quota is spent last.
+# The order matters: only the first guard that forbids an attempt is counted, and quota must be spent last.
 SEND_GUARDS: tuple[SendGuard, ...] = (
     attempt_is_wanted,
     request_is_open,
@@ -184,7 +197,7 @@
 
 
 def check_start_guards(request: OpenRequest, settings: Settings) -> GuardVerdict:
-    """The first verdict of the naming guards that forbids an attempt, or ``ALLOWED``."""
+    """Return the first verdict of the start guards that forbids an attempt, or ``ALLOWED``."""
     for guard in START_GUARDS:
         verdict = guard(request, settings)
         if verdict is not ALLOWED:
@@ -195,7 +208,7 @@
 def check_send_guards(
     state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float
 ) -> GuardVerdict:
-    """The first verdict of the send guards that forbids the first byte, or ``ALLOWED``."""
+    """Return the first verdict of the send guards that forbids the first byte, or ``ALLOWED``."""
     for guard in SEND_GUARDS:
         verdict = guard(state, request, attempt, now_ms)
         if verdict is not ALLOWED:
--- a/beechslip/core/health_checks.py
+++ b/beechslip/core/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks that the router asks for: one task each, owned by a runner."""
+"""The health checks that the router requests: each runs in a task of its own."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class HealthCheckRunner:
-    """Runs health checks and posts their results. Counts ``probe.RESULT``."""
+    """Runs health checks and posts their results to the engine. Increments the counters ``probe.RESULT``."""
 
     def __init__(
         self,
@@ -25,7 +25,10 @@
         counters: Counters,
         post: Callable[[object], None],
     ) -> None:
-        """``backends``: a live view of the listed ones; ``post``: the engine's queue."""
+        """Create a runner without running health checks.
+
+        ``backends`` is a live view of the listed backends; ``post`` puts a message into the engine's queue.
+        """
         self.checker = checker
         self._backends = backends
         self._clock = clock
@@ -34,13 +37,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, name: str) -> None:
-        """Check one backend; its result comes through the engine's queue."""
+        """Start a health check of one backend; its result is posted to the engine's queue."""
         task = asyncio.get_running_loop().create_task(self._run(name))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel_all(self) -> list[asyncio.Task[None]]:
-        """Cancel the checks that are running; returns their tasks, for the caller to await."""
+        """Cancel all running health checks and return their tasks, for the caller to await."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -52,7 +55,7 @@
         try:
             result = await self.checker.health_check(backend) if backend else AttemptResult("connect_failed")
         except Exception:
-            log.exception("health check of %s", name)
+            log.exception("health check failed with an exception: backend=%s", name)
             result = AttemptResult("error")
         self._counters.add(f"probe.{result.result}")
         elapsed_s = to_seconds(self._clock.now_ms() - started_ms)
--- a/beechslip/core/messages.py
+++ b/beechslip/core/messages.py
@@ -1,4 +1,4 @@
-"""The messages to the engine, as ``Engine.post`` takes them from fronts, the change log and the process."""
+"""The messages that front ends, the change log and the process pass to ``Engine.post``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request, with what carries out its attempts and what takes its final response."""
+    """A client's request was received; it comes with its attempt executor and its response sink."""
 
     client_request: ClientRequest
     executor: AttemptExecutor
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The complete endpoint list, live or as remembered in the configuration, or the changes to it."""
+    """The complete endpoint list, live or as remembered in the configuration, or changes to the list."""
 
     kind: Literal["all", "changes", "remembered"]
     backends: tuple[Backend, ...]
@@ -36,20 +36,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings hold from now on; requests that are open keep the rule of their class."""
+    """New settings hold from now on; requests that are open keep the rule of their class."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class Shutdown:
-    """The process exits soon: every open request is to have its final response now."""
+    """The process exits soon: every open request must get its final response now."""
 
 
 @dataclass(frozen=True, slots=True)
 class PurgeReceived:
-    """An object, or with no object a group, was purged."""
+    """An object was purged or, if ``object`` is empty, a whole group."""
 
     object: str
     group: int
-    time_ms: float  # Unix ms by the clock of the change log's machine
+    time_ms: float  # the time of the purge: Unix ms by the clock of the change log's machine
--- a/beechslip/core/model.py
+++ b/beechslip/core/model.py
@@ -1,7 +1,8 @@
-"""The core's data: clients' requests, backends, attempts, their results, and final responses.
+"""The engine's data types: clients' requests, backends, attempts, attempt results and final responses.
 
-Times are milliseconds, of ``Clock.now_ms`` where they are moments. A front hands in a ``ClientRequest`` with an
-``AttemptExecutor`` that carries out its attempts and a ``ResponseSink`` that takes its one final response.
+All times are in milliseconds; points in time are on ``Clock.now_ms``. A front end passes each ``ClientRequest`` to
+the engine together with an ``AttemptExecutor``, which carries out the request's attempts, and a ``ResponseSink``,
+which takes its one final response.
 """
 
 from __future__ import annotations
@@ -14,13 +15,14 @@
 AttemptResultKind = Literal[
     "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss", "handed_out", "spoilt"
 ]
-# Results that prove that no backend has run the request. "moot": it was not attempted, or not to its first byte.
+# Results that prove that no backend has run the request. "moot" means that the attempt was not made, or that it ended
+# before its first byte was sent.
 PROVEN_NOT_EXECUTED: frozenset[AttemptResultKind] = frozenset({"full", "connect_failed", "moot", "miss"})
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A client's request, as a front has read it."""
+    """A client's request, as read by a front end."""
 
     id: str
     class_name: str
@@ -28,17 +30,17 @@
     part: int = 0
     group: int = 0
     size_kb: float = 0.0
-    wait_ms: float = 0.0  # the client waits this long, counted from arrived_ms
+    wait_ms: float = 0.0  # how long the client waits for the final response, counted from arrived_ms
     arrived_ms: float = 0.0
     write: bool = False
     body: bytes = b""
-    idempotency_key: str = ""  # idempotency key
+    idempotency_key: str = ""
     etag: str = ""  # of the copy that the client holds
 
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """A backend, parent or origin as the change log names it."""
+    """A backend as listed by the change log: a cache, a parent or the origin."""
 
     name: str
     address: str
@@ -52,39 +54,42 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRequest:
-    """One attempt to be carried out."""
+    """The request for one attempt, which an ``AttemptExecutor`` carries out.
+
+    ``keep``, ``join``, ``renew`` and ``cached_only`` are those of ``beechslip.routing.interface.Attempt``.
+    """
 
     client_request: ClientRequest
     number: int
     backend: Backend
-    source: str  # the id of what fills a miss; "" for no fill
+    source: str  # the name of the backend that fills a miss; "" if there is to be no fill
     timeout_ms: float
     keep: int = 0
     max_age_ms: float = 0.0
     join: bool = False
     renew: bool = False
     cached_only: bool = False
-    timeout_at_ms: float = math.inf  # when the attempt is given up (of ``Clock.now_ms``)
+    timeout_at_ms: float = math.inf  # the time on ``Clock.now_ms`` at which the attempt times out
 
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What a backend answered: the bytes with their tag, or that the client's copy is current."""
+    """The content of a backend's response: a body with its ETag, or the fact that the client's copy is current."""
 
     body: bytes = b""
     etag: str = ""
-    is_not_modified: bool = False  # the client's copy is current
+    is_not_modified: bool = False  # the client's copy is current, and ``body`` is empty
 
 
 @dataclass(slots=True)
 class AttemptResult:
     """How an attempt or a health check ended.
 
-    ``spoilt``: the request has run, but what came of it can't be used; that speaks against no backend.
-    ``ended_ms``: when the end was read off the wire; 0 where that is not known.
+    The result ``spoilt`` means that the request has run but its response is unusable; this is not held against any
+    backend. The result ``handed_out`` means that the client was directed to the backend and that this serves the
+    request; the attempt counts as in flight for another ``hold_ms``, and the router learns nothing from it.
 
-    ``handed_out``: the client was sent to the backend and the request is served by that; the attempt
-    counts as in flight for ``hold_ms`` more, and the router learns nothing from it.
+    ``ended_ms`` is the time at which the end was read from the connection, or 0 if that is not known.
     """
 
     result: AttemptResultKind
@@ -97,40 +102,44 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """The final response to a request."""
+    """The final response to a client's request."""
 
     kind: Literal["served", "refused", "failed"]
     payload: Payload | None = None
     retry_after_ms: float = 0.0
     cause: Literal["", "deadline", "duplicate", "fault", "sent before"] = ""
-    reason: str = ""  # the router's, for the log
+    reason: str = ""  # the reason for the log, such as the one that the router gives
 
 
 class AttemptExecutor(Protocol):
-    """Carries out attempts. A cancelled one has given back its connection once ``execute`` has ended."""
+    """Carries out attempts. If ``execute`` is cancelled, it gives its connection back before it ends."""
 
     async def execute(self, spec: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
-        """Ask ``may_start`` right before the first byte; False means that nothing may be sent.
+        """Send the request to the backend and return how the attempt ended.
 
-        The attempt counts as sent from a True on. It may be asked again while no byte could be sent.
+        Call ``may_start`` right before sending the first byte; if it returns False, nothing may be sent. Once it has
+        returned True, the attempt counts as sent. It may be called again as long as no byte could be sent.
         """
         ...
 
 
 class HealthChecker(Protocol):
-    """Checks the health of a backend, and keeps nothing of those that are no longer listed."""
+    """Checks the health of backends, and drops what it holds on backends that are no longer listed."""
 
     async def health_check(self, backend: Backend) -> AttemptResult:
-        """Check one backend now."""
+        """Check one backend now and return the result."""
         ...
 
     def update_backends(self, backends: Mapping[str, Backend]) -> None:
-        """Take note of all that are listed now, by name, draining ones included: a live view, not a copy."""
+        """Take all backends that are listed now, by name and including draining ones.
+
+        ``backends`` is a live view, not a copy.
+        """
         ...
 
 
 class ResponseSink(Protocol):
-    """Takes the one final response to a request; never raises and never blocks."""
+    """Takes the one final response to a request. Its methods never raise and never block."""
 
     def answer(self, response: FinalResponse) -> None:
         """Send the response to the client."""
@@ -138,8 +147,9 @@
 
     @property
     def has_client_departed(self) -> bool:
-        """Whether its client is known to have gone: nothing is owed, and nothing more may be sent for it.
+        """True if the client is known to have closed its connection.
 
-        Known here before ``ClientDisconnected`` has come through the engine's queue.
+        The request then needs no response, and nothing more may be sent for it. The sink knows this before the
+        engine has taken ``ClientDisconnected`` from its queue.
         """
         ...
--- a/beechslip/core/requests.py
+++ b/beechslip/core/requests.py
@@ -1,4 +1,4 @@
-"""Open requests: those that await their final response."""
+"""Open requests: clients' requests that have had no final response yet."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 if TYPE_CHECKING:
     from beechslip.core.attempts import InFlightAttempt
 
-# The router gives up this long before the client does, so that its last response is still written in time (which
-# takes under 1 ms). A wider margin would give up responses that are nearly there: some clients wait little longer
-# than the sending takes.
+# The router's deadline is this long before the client gives up, so that the final response is still written in time
+# (writing takes under 1 ms). A wider margin would abandon responses that have nearly arrived: some clients wait
+# little longer than the transfer takes.
 ROUTER_DEADLINE_MARGIN_MS = 8.0
-ENGINE_DEADLINE_MARGIN_MS = 4.0  # what the router leaves open the engine ends this long before the client gives up
-MAX_MARGIN_FRACTION = 0.25  # of the client's wait: a short wait has a smaller margin
-DEFAULT_MAX_ATTEMPTS = 1_000  # where the settings give no cap
+ENGINE_DEADLINE_MARGIN_MS = 4.0  # the engine ends requests that the router left open this long before clients give up
+MAX_MARGIN_FRACTION = 0.25  # of the client's wait, at most, is the router's margin: short waits get a smaller one
+DEFAULT_MAX_ATTEMPTS = 1_000  # used if the settings give no limit
 
 
 class OpenRequest:
-    """A request that awaits its final response, and what its further attempts depend on. Times are in ms."""
+    """A request without a final response yet, and the state that its further attempts depend on. Times are in ms."""
 
     __slots__ = (
         "alarm",
@@ -43,35 +43,36 @@
     )
 
     def __init__(self, received: RequestReceived, settings: Settings) -> None:
-        """A request that was received while ``settings`` hold.
+        """Create the open request for a received request, under the ``settings`` that hold now.
 
-        It keeps the rule of its class: clients hold it to that, whatever SIGHUP brings meanwhile.
+        It keeps the rule that its class has now: that is the rule its client expects, even if SIGHUP brings new
+        settings before it ends.
         """
         self.client_request: ClientRequest = received.client_request
         self.executor: AttemptExecutor = received.executor
         self.response_sink: ResponseSink = received.response_sink
         margin_ms = min(ROUTER_DEADLINE_MARGIN_MS, self.client_request.wait_ms * MAX_MARGIN_FRACTION)
         self.deadline_ms = self.client_request.arrived_ms + self.client_request.wait_ms - margin_ms
-        self.attempts_requested = 0  # by the router, which numbers them so
-        self.attempts_sent = 0  # of these, the ones of which a byte was written: only they count towards the cap
+        self.attempts_requested = 0  # by the router, which numbers the attempts the same way
+        self.attempts_sent = 0  # those whose first byte may have been sent: only they count towards the limit
         self.rule: ClassRule | None = settings.classes.get(received.client_request.class_name)
         if self.rule is not None and self.rule.effect == "keyed" and not self.client_request.idempotency_key:
             self.rule = replace(self.rule, effect="unsafe")  # without a key no backend can discard a repeat
         self.max_attempts = settings.max_attempts or DEFAULT_MAX_ATTEMPTS
-        self.attempt: InFlightAttempt | None = None  # the one in flight
+        self.attempt: InFlightAttempt | None = None  # the attempt in flight
         self.first_possible_run_ms: float | None = None  # when the first attempt that may have run was sent
-        self.is_recorded = False  # in the log of sent requests, where a store is configured
+        self.is_recorded = False  # in the sent-request log, if a store is configured
         self.alarm: Alarm | None = None
 
     @property
     def expires_ms(self) -> float:
-        """When the engine ends the request if the router has not."""
+        """The time at which the engine ends the request if the router has not ended it."""
         return max(
             self.client_request.arrived_ms + self.client_request.wait_ms - ENGINE_DEADLINE_MARGIN_MS, self.deadline_ms
         )
 
-    def refusal_is_safe(self) -> bool:
-        """Whether the client may be promised that a retry does no harm (``docs/terms-audit.md`` 4.5)."""
+    def is_refusal_safe(self) -> bool:
+        """Return True if the client may be promised that a retry does no harm (``docs/terms-audit.md`` 4.5)."""
         may_have_run = self.first_possible_run_ms is not None or (
             self.attempt is not None and self.attempt.may_have_been_sent
         )
@@ -81,7 +82,7 @@
 
 
 def to_request_event(request: OpenRequest, now_ms: float) -> interface.Request:
-    """The router's event for a request that has come."""
+    """Return the router's event for a request that was received."""
     client_request = request.client_request
     return interface.Request(
         request=client_request.id,
@@ -96,29 +97,29 @@
 
 
 class OpenRequestTable:
-    """The open requests by id. ``idle`` is set while there are none."""
+    """The open requests by id. The event ``idle`` is set while there are none."""
 
     def __init__(self) -> None:
-        """Start empty, and idle."""
+        """Create an empty table, with ``idle`` set."""
         self.by_id: dict[str, OpenRequest] = {}
         self.idle = asyncio.Event()
         self.idle.set()
 
     def __len__(self) -> int:
-        """How many requests are open."""
+        """Return the number of open requests."""
         return len(self.by_id)
 
     def holds(self, request: OpenRequest) -> bool:
-        """Whether this very request is open still, not merely one of the same id."""
+        """Return True if this very request is still open; another request with the same id does not count."""
         return self.by_id.get(request.client_request.id) is request
 
     def add(self, request: OpenRequest) -> None:
-        """Hold a request until ``remove``; its id must not be in the table."""
+        """Add a request, whose id must not be in the table yet."""
         self.by_id[request.client_request.id] = request
         self.idle.clear()
 
     def remove(self, request: OpenRequest) -> None:
-        """Take out a request that has ended, and cancel its alarm."""
+        """Remove a request that has ended, and cancel its alarm."""
         del self.by_id[request.client_request.id]
         if request.alarm is not None:
             request.alarm.cancel()
@@ -128,16 +129,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestExpired:
-    """Posted to the engine: a request is open at the last moment at which its client can be answered."""
+    """Posted to the engine when a request is still open at the last moment at which its client can be answered."""
 
     request: OpenRequest
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatForbidden:
-    """Posted to the engine: a keyed request was sent before, by an earlier process or another proxy.
+    """Posted to the engine when a keyed request must not be sent, as an earlier process or another proxy has sent it.
 
-    Its backends no longer discard repeats, or nobody can tell: it may not be sent any more.
+    Its backends no longer discard repeats of it, or it is unknown whether they do.
     """
 
     request: OpenRequest
--- a/beechslip/core/responses.py
+++ b/beechslip/core/responses.py
@@ -1,7 +1,7 @@
-"""Final responses: each is counted, and logged where the request was not served.
+"""Final responses: each is counted, and logged if the request was not served.
 
-The log level DEBUG has a line for every request that ends and for every attempt; ``bench/service_by_size.py`` reads
-those of the requests.
+At log level DEBUG, every request that ends and every attempt is logged; ``bench/service_by_size.py`` parses the lines
+about requests.
 """
 
 from __future__ import annotations
@@ -15,22 +15,27 @@
 
 log = logging.getLogger("beechslip.engine")
 
-MAX_LOG_LINES_PER_PERIOD = 20  # per period, about requests that were not served: under overload each costs needed CPU
+# Limits the lines about requests that were not served: under overload, each line costs CPU time that is needed
+# elsewhere.
+MAX_LOG_LINES_PER_PERIOD = 20
 LOG_PERIOD_MS = 1_000.0
 
 
 class Responder:
-    """Hands out final responses. Counts ``answered.KIND`` and ``ended.REASON`` (spaces as underscores)."""
+    """Sends final responses, counts them and logs them.
+
+    Increments the counters ``answered.KIND`` and ``ended.REASON``, with underscores for the spaces of the reason.
+    """
 
     def __init__(self, clock: Clock, counters: Counters) -> None:
-        """``clock`` dates the log lines' periods and the requests' ages."""
+        """Create a responder; ``clock`` measures the periods of the log limit and the ages of requests."""
         self._clock = clock
         self._counters = counters
         self._period_start_ms = 0.0
         self._lines_in_period = 0
 
     def respond(self, request: OpenRequest, response: FinalResponse) -> None:
-        """Give a request its final response; the caller sees to it that there is only one."""
+        """Send the final response to a request; the caller must ensure that there is only one."""
         self._counters.add(f"answered.{response.kind}")
         if response.reason:
             self._counters.add(f"ended.{response.reason.replace(' ', '_')}")
@@ -41,7 +46,7 @@
         request.response_sink.answer(response)
 
     def log_client_gone(self, request: OpenRequest) -> None:
-        """Note that a client has left before its response."""
+        """Log at DEBUG that a client has disconnected before its response."""
         if log.isEnabledFor(logging.DEBUG):
             client_request = request.client_request
             age_ms = self._clock.now_ms() - client_request.arrived_ms
@@ -55,7 +60,7 @@
             )
 
     def log_attempt(self, spec: AttemptRequest, result: AttemptResult, elapsed_ms: float) -> None:
-        """Note how an attempt ended; what comes next for its request follows from it."""
+        """Log at DEBUG how an attempt ended, which explains what the router does next with its request."""
         if log.isEnabledFor(logging.DEBUG):
             log.debug(
                 "%s attempt %d at %s from %s: %s %s after %.0f ms",
--- a/beechslip/core/router_module.py
+++ b/beechslip/core/router_module.py
@@ -1,4 +1,4 @@
-"""The decision module, as the engine uses it."""
+"""The interface of the router module, which makes the routing decisions, as the engine uses it."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class RouterModule(Protocol):
-    """The decision module. Its times are seconds, and never run backwards."""
+    """Makes the routing decisions. Times are passed in seconds and never decrease from call to call."""
 
     def start(self, now: float) -> list[interface.Action]:
-        """What it does first of all."""
+        """Return the actions to take at the start, before any event."""
         ...
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        """What it does about an event, in order."""
+        """Handle an event and return the actions to take, in order."""
         ...
--- a/beechslip/core/services.py
+++ b/beechslip/core/services.py
@@ -1,4 +1,4 @@
-"""Services beside the router that the operators' files may turn on, as the engine uses them."""
+"""Interfaces of the optional services that operators can enable in their files, as the engine uses them."""
 
 from __future__ import annotations
 
@@ -10,67 +10,76 @@
 
 
 class QuotaGate(Protocol):
-    """The fleet's quotas, as far as this proxy holds them; never raises and never blocks."""
+    """This proxy's share of the fleet-wide quotas. Its methods never raise and never block."""
 
     def spend(self, spec: AttemptRequest, is_retry: bool) -> bool:
-        """Whether the quotas have room for an attempt, of which they then spend.
+        """Spend quota on an attempt and return True, or return False if the quotas have no room for it.
 
-        Asked right before its first byte, as the last of its guards. ``is_retry``: an earlier attempt of the
-        request was sent.
+        The engine calls this right before the attempt's first byte, as the last of the send guards. ``is_retry`` is
+        True if an earlier attempt of the request was sent.
         """
         ...
 
     def attempt_ended(self, spec: AttemptRequest, result: AttemptResult) -> None:
-        """An attempt that was allowed has ended."""
+        """Take the result of an attempt that ``spend`` has allowed."""
         ...
 
     def max_attempt_duration_ms(self, *backends: str) -> float:
-        """How long an attempt to or through these backends may last (inf: no limit)."""
+        """Return how long (ms) an attempt to or through these backends may last; infinity means no limit."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class PreviousSend:
-    """A keyed request was on record: first sent at ``sent_ms`` (of ``Clock.now_ms``; -inf: nobody can tell)."""
+    """The log already holds a keyed request, which was first sent at ``sent_ms``.
+
+    ``sent_ms`` is on ``Clock.now_ms``; minus infinity means that the time is unknown.
+    """
 
     sent_ms: float
 
 
 class SentRequestLog(Protocol):
-    """Remembers which keyed requests have been sent, over restarts."""
+    """Records which keyed requests have been sent; the records outlive restarts."""
 
     async def record_send(self, idempotency_key: str) -> PreviousSend | bool:
-        """Record a request before its first byte.
+        """Record a request before its first byte is sent.
 
-        True once it is recorded, the earlier record if there was one, False if it could not be recorded in the
-        time that the operators allow.
+        Return True once the request is recorded, the earlier record if there was one, or False if it could not be
+        recorded within the time that the operators allow.
         """
         ...
 
     def forget(self, idempotency_key: str) -> None:
-        """Drop the record of a request of which no attempt can have run. Never waits."""
+        """Drop the record of a request of which no attempt can have run. Return without waiting."""
         ...
 
 
 class AttemptObserver(Protocol):
-    """Sees the results of attempts, and bounds the age of copies beside the router; never raises, never blocks."""
+    """Takes the results of attempts, and limits the age of copies in addition to the router.
+
+    Its methods never raise and never block.
+    """
 
     def attempt_ended(self, spec: AttemptRequest, result: AttemptResult, elapsed_ms: float) -> None:
-        """An attempt that was sent, or that could not connect, has ended; ``elapsed_ms``: on the wire."""
+        """Take the result of an attempt that was sent, or that could not connect.
+
+        ``elapsed_ms`` is its time on the wire, from the first byte sent to the last byte received.
+        """
         ...
 
     def purge_received(self, purge: PurgeReceived) -> None:
-        """A purge has come."""
+        """Take a purge that the engine has received."""
         ...
 
     def max_copy_age_ms(self, *backends: str) -> float:
-        """How old a copy from these backends may be (inf: no limit)."""
+        """Return how old (ms) a copy from these backends may be; infinity means no limit."""
         ...
 
 
 @dataclass(slots=True)
 class OptionalServices:
-    """What the operators' files turn on beside the router; None where it is off."""
+    """The optional services that the operators' files enable; a service that is off is None."""
 
     quota_gate: QuotaGate | None = None
     observer: AttemptObserver | None = None
