--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,6 @@
-"""Paths that end something, each with the crossing forced: what is still pending in that instant is settled.
+"""Tests of endings while something is still pending: the overlap is forced, and what is pending must be settled.
 
-``docs/design/endings.md`` lists the paths, with the tests elsewhere that force the rest.
+``docs/design/endings.md`` lists the cases, with the tests in other files that force the rest.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 @run
-async def test_new_settings_bring_no_draining_backend_back() -> None:
+async def test_new_settings_do_not_bring_a_draining_backend_back_into_use() -> None:
     async with Stand(*(backends := [StandBackend("a"), StandBackend("b")])) as stand:
         stand.engine.handle_message(EndpointListUpdate("changes", (backends[0].entry("draining"),)))
         stand.engine.handle_message(SettingsChanged(replace(stand.settings, max_attempts=3)))
@@ -62,194 +62,201 @@
 
 
 @run
-async def test_idle_clients_that_fill_the_descriptors_do_not_keep_discovery_away(tmp_path: Path) -> None:
-    most = 128
-    async with program(tmp_path) as one:
-        path = one.write_config()
+async def test_idle_clients_that_use_up_the_descriptors_do_not_block_the_change_log(tmp_path: Path) -> None:
+    descriptor_limit = 128
+    async with program(tmp_path) as testbed:
+        path = testbed.write_config()
         config = json.loads(path.read_text())
-        config["limits"]["sockets"] = most
+        config["limits"]["sockets"] = descriptor_limit
         path.write_text(json.dumps(config))
-        process = await one.start(EDGE_CONFIG=str(path))
-        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (most, most))
-        await one.ready()
-        await until(lambda: one.log.resumed_from)
-        one.log.stop()
-        await until(lambda: one.log.rejected)
-        idle = [await asyncio.open_connection("127.0.0.1", one.port) for _ in range(3 * most)]
+        process = await testbed.start(EDGE_CONFIG=str(path))
+        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
+        await testbed.ready()
+        await until(lambda: testbed.log.resumed_from)
+        testbed.log.stop()
+        await until(lambda: testbed.log.rejected)
+        idle_connections = [
+            await asyncio.open_connection("127.0.0.1", testbed.port) for _ in range(3 * descriptor_limit)
+        ]
         try:
-            assert (await fetch(one.port))[0] == 200
-            asked = len(one.log.resumed_from)
-            one.log.resume()
-            await until(lambda: len(one.log.resumed_from) > asked)
-            one.log.publish(2, fleet={"snapshot": False, "endpoints": [line(one.backends[0], "leaving")]})
-            while not one.backends[1].seen:
-                assert (await fetch(one.port))[0] == 200
+            assert (await fetch(testbed.port))[0] == 200
+            stream_count = len(testbed.log.resumed_from)
+            testbed.log.resume()
+            await until(lambda: len(testbed.log.resumed_from) > stream_count)
+            testbed.log.publish(2, fleet={"snapshot": False, "endpoints": [line(testbed.backends[0], "leaving")]})
+            while not testbed.backends[1].seen:
+                assert (await fetch(testbed.port))[0] == 200
         finally:
-            for _, writer in idle:
+            for _, writer in idle_connections:
                 writer.transport.abort()
-        assert (await one.end())[0] == 0
+        assert (await testbed.end())[0] == 0
 
 
-# The program ends -----------------------------------------------------------------------------------
+# Signals to the program -----------------------------------------------------------------------------
 
 
 @run
-@pytest.mark.parametrize("reloading", [False, True])
-async def test_sigterm_with_requests_in_flight_waiting_and_half_read(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reloading: bool
+@pytest.mark.parametrize("is_reloading", [False, True])
+async def test_sigterm_serves_the_request_in_flight_and_refuses_waiting_and_half_read_ones(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, is_reloading: bool
 ) -> None:
     monkeypatch.setattr(shutdown, "LINGER_S", 0.0)
     drained, drain = asyncio.Event(), HttpFront.drain
     monkeypatch.setattr(HttpFront, "drain", lambda front: (drain(front), drained.set()))
-    async with program(tmp_path) as one:
-        one.backends[:2] = [backend := Gated("s")]
+    async with program(tmp_path) as testbed:
+        testbed.backends[:2] = [backend := Gated("s")]
         async with listening(backend):
-            env = {"EDGE_CONFIG": str(one.write_config())}
-            this = Proxy(read_config(env))
-            task = asyncio.create_task(this.run())
-            await one.ready()
-            async with client(one.port) as busy, client(one.port) as slow, client(one.port) as silent:
+            env = {"EDGE_CONFIG": str(testbed.write_config())}
+            proxy = Proxy(read_config(env))
+            task = asyncio.create_task(proxy.run())
+            await testbed.ready()
+            async with client(testbed.port) as busy, client(testbed.port) as slow, client(testbed.port) as silent:
                 busy.send(command() + command())
-                half = command()
-                slow.send(half[:40])
+                half_sent_request = command()
+                slow.send(half_sent_request[:40])
                 await until(lambda: backend.seen)
-                if reloading:
-                    one.log.address = f"127.0.0.1:{free_port()}"
-                    one.write_config()
-                    this.reload(env)
-                this.stopping.set()
+                if is_reloading:
+                    testbed.log.address = f"127.0.0.1:{free_port()}"
+                    testbed.write_config()
+                    proxy.reload(env)
+                proxy.stopping.set()
                 await drained.wait()
                 backend.gate.set()
                 assert [await busy.status(), await busy.status()] == [200, 503]
-                slow.send(half[40:])
+                slow.send(half_sent_request[40:])
                 assert await slow.status() == 503
                 assert await silent.ended()
                 await task
 
 
 @run
-async def test_sigterm_ends_a_program_that_still_waits_for_its_list(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        await one.start(EDGE_CONFIG=str(one.write_config(known=False)))
-        await until(lambda: one.log.resumed_from)
-        code, said = await one.end()
-        assert code == 0 and "before it serves" in said
+async def test_sigterm_ends_a_program_that_still_waits_for_its_endpoint_list(tmp_path: Path) -> None:
+    async with program(tmp_path) as testbed:
+        await testbed.start(EDGE_CONFIG=str(testbed.write_config(known=False)))
+        await until(lambda: testbed.log.resumed_from)
+        exit_status, stderr = await testbed.end()
+        assert exit_status == 0 and "before it serves" in stderr
 
 
 @run
-async def test_sighup_while_the_program_loads_is_heard_once_it_has(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        path = one.write_config()
+async def test_sighup_while_the_program_loads_causes_a_reload_once_it_has_loaded(tmp_path: Path) -> None:
+    async with program(tmp_path) as testbed:
+        path = testbed.write_config()
         text = path.read_bytes()
         path.unlink()
         os.mkfifo(path)
-        process = await one.start(EDGE_CONFIG=str(path))
+        process = await testbed.start(EDGE_CONFIG=str(path))
         loop = asyncio.get_running_loop()
-        gate = await loop.run_in_executor(None, os.open, path, os.O_WRONLY)  # it is reading its configuration now
+        # This opens once the program reads its configuration.
+        gate = await loop.run_in_executor(None, os.open, path, os.O_WRONLY)
         path.unlink()
-        path.write_bytes(text)  # what it reads once more, as it is signalled to
+        path.write_bytes(text)  # read again by the reload that the signal requests
         process.send_signal(signal.SIGHUP)
         os.write(gate, text)
         os.close(gate)
-        await one.ready()
-        code, said = await one.end()
-        assert code == 0 and "reloads=1" in said
+        await testbed.ready()
+        exit_status, stderr = await testbed.end()
+        assert exit_status == 0 and "reloads=1" in stderr
 
 
 @run
-async def test_sighup_while_the_interpreter_starts_does_not_end_the_command_that_runs_in_service(
+async def test_sighup_while_the_interpreter_starts_does_not_end_the_service_command(
     tmp_path: Path,
 ) -> None:
     gate = tmp_path / "gate"
     os.mkfifo(gate)
     (tmp_path / "sitecustomize.py").write_text(f"open({str(gate)!r}).read()\n")
     command_line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    async with program(tmp_path) as one:
-        env = one.env | {"EDGE_CONFIG": str(one.write_config()), "PYTHONPATH": str(tmp_path)}
-        one.process = await asyncio.create_subprocess_exec(
+    async with program(tmp_path) as testbed:
+        env = testbed.env | {"EDGE_CONFIG": str(testbed.write_config()), "PYTHONPATH": str(tmp_path)}
+        testbed.process = await asyncio.create_subprocess_exec(
             "sh", "-c", command_line, cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
         )
         pipe = await asyncio.get_running_loop().run_in_executor(None, os.open, gate, os.O_WRONLY)
-        one.process.send_signal(signal.SIGHUP)
+        testbed.process.send_signal(signal.SIGHUP)
         os.close(pipe)
-        await one.ready()
-        assert (await one.end())[0] == 0
+        await testbed.ready()
+        assert (await testbed.end())[0] == 0
 
 
 @run
-async def test_clients_that_come_again_are_served_by_the_process_after_a_sigkill(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        path = str(one.write_config())
-        first = await one.start(EDGE_CONFIG=path)
-        await one.ready()
+async def test_clients_that_retry_after_a_sigkill_are_served_by_the_next_process(tmp_path: Path) -> None:
+    async with program(tmp_path) as testbed:
+        path = str(testbed.write_config())
+        first_process = await testbed.start(EDGE_CONFIG=path)
+        await testbed.ready()
 
-        async def again() -> int:
+        async def fetch_until_served() -> int:
             while True:
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                    return (await fetch(one.port))[0]
+                    return (await fetch(testbed.port))[0]
                 await asyncio.sleep(0)
 
-        first.kill()
-        await first.wait()
-        asked = [asyncio.create_task(again()) for _ in range(8)]
-        await one.start(EDGE_CONFIG=path)
-        assert [await task for task in asked] == [200] * 8
-        assert (await one.end())[0] == 0
+        first_process.kill()
+        await first_process.wait()
+        fetches = [asyncio.create_task(fetch_until_served()) for _ in range(8)]
+        await testbed.start(EDGE_CONFIG=path)
+        assert [await task for task in fetches] == [200] * 8
+        assert (await testbed.end())[0] == 0
 
 
-# A backend in slow start -------------------------------------------------------------------------------------
+# A backend in slow start ----------------------------------------------------------------------------
 
 
-class Metered(StandBackend):
-    """Notes by the test's clock when it is asked."""
+class TimestampingBackend(StandBackend):
+    """A backend that records when requests arrive, on the test's clock."""
 
     def __init__(self, name: str, clock: ManualClock) -> None:
         super().__init__(name)
-        self.clock, self.met = clock, list[float]()
+        self.clock, self.request_times_ms = clock, list[float]()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
                 await read_message(reader)
-                self.met.append(self.clock.now_ms())
+                self.request_times_ms.append(self.clock.now_ms())
                 writer.write(OK)
 
 
 @run
 @pytest.mark.parametrize("count", [1, 2, 5, 20, 30])
-async def test_a_backend_in_slow_start_gets_no_more_than_its_capacity_from_many_processes_together(
+async def test_many_proxies_together_do_not_send_a_backend_in_slow_start_more_than_its_capacity(
     count: int,
 ) -> None:
-    """Each is due less than one request, and sees the warm one bear a few; then one comes back under a burst."""
-    facts = SETTINGS["specifics"] | {"instancesByZone": [0, count]}
-    settings = read_settings(SETTINGS | {"balancers": count, "specifics": facts})
+    """One of two backends restarts, and a burst of requests follows.
+
+    In the slow start each proxy's share of the backend's capacity is less than one request, and each proxy has seen
+    the warm backend take only a few requests.
+    """
+    specifics = SETTINGS["specifics"] | {"instancesByZone": [0, count]}
+    settings = read_settings(SETTINGS | {"balancers": count, "specifics": specifics})
     clock, rng = ManualClock(), Random(count)
-    starting, warm = Metered("a", clock), Metered("b", clock)
-    answered: list[FinalResponse] = []
-    response_sink: Any = SimpleNamespace(answer=answered.append, has_client_departed=False)
+    restarted, warm = TimestampingBackend("a", clock), TimestampingBackend("b", clock)
+    responses: list[FinalResponse] = []
+    response_sink: Any = SimpleNamespace(answer=responses.append, has_client_departed=False)
     sizes = [3200.0 * rng.lognormvariate(-0.7, 1.2) for _ in range(300)]
     weights = [1.0 / (n + 1) for n in range(300)]
-    async with listening(starting, warm):
-        parts = []
+    async with listening(restarted, warm):
+        proxies = []
         for n in range(count):
             client = BackendClient(settings, 90, clock, Counters())
             engine = Engine(settings, Router(settings, n), clock, client, Counters())
-            engine.handle_message(EndpointListUpdate("all", (starting.entry(), warm.entry())))
-            parts.append((engine, client, asyncio.create_task(engine.run())))
-
-        async def play(seconds: float, rate: float) -> None:
-            end = clock.now_ms() + seconds * 1000.0
-            while (wait := rng.expovariate(rate) * 1000.0) + clock.now_ms() < end:
-                clock.advance(wait)
-                engine, client, _ = rng.choice(parts)
-                which, done = rng.choices(range(300), weights)[0], len(answered)
+            engine.handle_message(EndpointListUpdate("all", (restarted.entry(), warm.entry())))
+            proxies.append((engine, client, asyncio.create_task(engine.run())))
+
+        async def send_requests(seconds: float, rate: float) -> None:
+            end_ms = clock.now_ms() + seconds * 1000.0
+            while (delay_ms := rng.expovariate(rate) * 1000.0) + clock.now_ms() < end_ms:
+                clock.advance(delay_ms)
+                engine, client, _ = rng.choice(proxies)
+                object_number, response_count = rng.choices(range(300), weights)[0], len(responses)
                 engine.post(
                     RequestReceived(
                         ClientRequest(
                             f"{next(request_ids):016x}",
                             "waveform",
-                            f"{which}",
-                            size_kb=sizes[which],
+                            f"{object_number}",
+                            size_kb=sizes[object_number],
                             wait_ms=6000.0,
                             arrived_ms=clock.now_ms(),
                         ),
@@ -257,26 +264,29 @@
                         response_sink,
                     )
                 )
-                await until(lambda: len(answered) > done)  # noqa: B023
+                await until(lambda: len(responses) > response_count)  # noqa: B023
 
         rate = 0.3 * count
-        await play(20.0, rate)
-        began = clock.now_ms()
-        for engine, _, _ in parts:
-            engine.post(EndpointListUpdate("changes", (starting.entry(started_ms=began),)))
-        starting.met.clear()
-        await play(settings.slow_start_time, 3.0 * rate)
-        for _, client, task in parts:
+        await send_requests(20.0, rate)
+        restarted_ms = clock.now_ms()
+        for engine, _, _ in proxies:
+            engine.post(EndpointListUpdate("changes", (restarted.entry(started_ms=restarted_ms),)))
+        restarted.request_times_ms.clear()
+        await send_requests(settings.slow_start_time, 3.0 * rate)
+        for _, client, task in proxies:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
             await client.close()
-    bears = rate / 2.0 / 0.8  # requests a second when warm: it had been loaded to eight tenths
-    for start in starting.met:
-        now = (
+    warm_rate = rate / 2.0 / 0.8  # requests per second when warm: the load before the restart was eight tenths of it
+    for window_start_ms in restarted.request_times_ms:
+        capacity_fraction = (
             settings.slow_start_share
-            + (1.0 - settings.slow_start_share) * (start - began) / 1000.0 / settings.slow_start_time
+            + (1.0 - settings.slow_start_share) * (window_start_ms - restarted_ms) / 1000.0 / settings.slow_start_time
+        )
+        max_requests = settings.overload_multiple * warm_rate * min(capacity_fraction, 1.0) * settings.overload_window
+        request_count = sum(
+            window_start_ms <= received_ms < window_start_ms + settings.overload_window * 1000.0
+            for received_ms in restarted.request_times_ms
         )
-        budget = settings.overload_multiple * bears * min(now, 1.0) * settings.overload_window
-        met = sum(start <= at < start + settings.overload_window * 1000.0 for at in starting.met)
-        assert met <= budget + 2.0 * budget**0.5 + 2.0
-    assert starting.met  # it is not starved either
+        assert request_count <= max_requests + 2.0 * max_requests**0.5 + 2.0
+    assert restarted.request_times_ms  # the backend is not starved either
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""New settings on SIGHUP: which files are used, what holds meanwhile, and what open requests keep."""
+"""Tests of new settings on SIGHUP: accepted files, the transition, and what requests that are open keep."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tests.test_program import program
 from tests.test_rules import Plan, boxes
 
-BEFORE = read_settings(SETTINGS)
+OLD_SETTINGS = read_settings(SETTINGS)
 
 
 def rule(name: str, effect: str = "safe", group: str = "all", window: float = 5.0) -> i.ClassRule:
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "both"),
+    ("old", "new", "expected"),
     [
         (("safe", "all", 5.0), ("unsafe", "all", 5.0), ("unsafe", "all", 5.0)),
         (("unsafe", "all", 5.0), ("safe", "all", 5.0), ("unsafe", "all", 5.0)),
@@ -44,21 +44,21 @@
         (("", "all", 5.0), ("keyed", "all", 5.0), ("", "all", 5.0)),
     ],
 )
-def test_until_new_settings_bind_the_stricter_rule_holds(old: Any, new: Any, both: Any) -> None:
-    one, two = (replace(BEFORE, classes={"c": rule("c", *how)}) for how in (old, new))
-    both_rules = stricter_settings(one, two).classes["c"]
-    assert (both_rules.effect, both_rules.group, both_rules.window) == both
-
-
-@pytest.mark.parametrize(("old", "new", "both"), [(8, 2, 2), (2, 8, 2), (0, 3, 3), (3, 0, 3), (0, 0, 0)])
-def test_until_new_settings_bind_classes_of_both_hold_and_the_fewer_attempts(old: int, new: int, both: int) -> None:
-    one = replace(BEFORE, max_attempts=old, classes={"a": rule("a"), "b": rule("b")})
-    two = replace(BEFORE, max_attempts=new, classes={"b": rule("b"), "c": rule("c")}, tells="all")
-    both_rules = stricter_settings(one, two)
+def test_stricter_settings_take_the_stricter_rule_of_a_class(old: Any, new: Any, expected: Any) -> None:
+    old_settings, new_settings = (replace(OLD_SETTINGS, classes={"c": rule("c", *fields)}) for fields in (old, new))
+    stricter = stricter_settings(old_settings, new_settings).classes["c"]
+    assert (stricter.effect, stricter.group, stricter.window) == expected
+
+
+@pytest.mark.parametrize(("old", "new", "expected"), [(8, 2, 2), (2, 8, 2), (0, 3, 3), (3, 0, 3), (0, 0, 0)])
+def test_stricter_settings_have_the_classes_of_both_and_the_lower_attempt_limit(
+    old: int, new: int, expected: int
+) -> None:
+    old_settings = replace(OLD_SETTINGS, max_attempts=old, classes={"a": rule("a"), "b": rule("b")})
+    new_settings = replace(OLD_SETTINGS, max_attempts=new, classes={"b": rule("b"), "c": rule("c")}, tells="all")
+    stricter = stricter_settings(old_settings, new_settings)
     assert (
-        sorted(both_rules.classes) == ["a", "b", "c"]
-        and both_rules.max_attempts == both
-        and both_rules.tells == "all"
+        sorted(stricter.classes) == ["a", "b", "c"] and stricter.max_attempts == expected and stricter.tells == "all"
     )
 
 
@@ -77,18 +77,18 @@
     return file
 
 
-def _class(file: dict[str, Any], place: int) -> dict[str, Any]:
-    entry: dict[str, Any] = file["settings"]["classes"][place]
+def _class_entry(file: dict[str, Any], index: int) -> dict[str, Any]:
+    entry: dict[str, Any] = file["settings"]["classes"][index]
     return entry
 
 
-def _grow(file: dict[str, Any]) -> None:
-    file["settings"]["classes"].append(_class(file, 1) | {"name": "plot-2"})
+def _add_class(file: dict[str, Any]) -> None:
+    file["settings"]["classes"].append(_class_entry(file, 1) | {"name": "plot-2"})
     for name, value in (("goesThrough", False), ("maxAge", 3.0), ("staleFor", 0.0)):
         file["settings"]["specifics"][name] = [*file["settings"]["specifics"][name], value]
 
 
-BAD: list[Callable[[dict[str, Any]], object]] = [
+INVALID_CHANGES: list[Callable[[dict[str, Any]], object]] = [
     lambda f: f.pop("settings"),
     lambda f: f.pop("known"),
     lambda f: f.pop("changelog"),
@@ -96,63 +96,69 @@
     lambda f: f["settings"].pop("classes"),
     lambda f: f["settings"]["caps"].pop("maxAttempts"),
     lambda f: f["settings"]["specifics"].pop("tells"),
-    lambda f: _class(f, 0).pop("effect"),
-    lambda f: _class(f, 1).pop("giveUp"),
+    lambda f: _class_entry(f, 0).pop("effect"),
+    lambda f: _class_entry(f, 1).pop("giveUp"),
     lambda f: f["settings"].update(classes=[]),
     lambda f: f["settings"].update(classes={}),
     lambda f: f["settings"]["classes"].append(7),
     lambda f: f["settings"]["classes"].pop(),
-    lambda f: f["settings"]["classes"].append(_class(f, 0)),
-    lambda f: _class(f, 2).update(name=""),
-    *(lambda f, bad=bad: _class(f, 0).update(giveUp=bad) for bad in (-5, 0, "6", None, True, [])),
-    *(lambda f, bad=bad: f["settings"]["caps"].update(maxAttempts=bad) for bad in (0, -1, "8", None, True)),
+    lambda f: f["settings"]["classes"].append(_class_entry(f, 0)),
+    lambda f: _class_entry(f, 2).update(name=""),
+    *(
+        lambda f, invalid=invalid: _class_entry(f, 0).update(giveUp=invalid)
+        for invalid in (-5, 0, "6", None, True, [])
+    ),
+    *(
+        lambda f, invalid=invalid: f["settings"]["caps"].update(maxAttempts=invalid)
+        for invalid in (0, -1, "8", None, True)
+    ),
 ]
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         b"",
         b"{",
         json.dumps(config_file()).encode()[:700],
         b"[]",
         b"null",
-        *(json.dumps(config_file(change)).encode() for change in BAD),
+        *(json.dumps(config_file(change)).encode() for change in INVALID_CHANGES),
     ],
 )
-def test_an_incomplete_or_bad_file_is_rejected(tmp_path: Path, bad: bytes) -> None:
+def test_reread_config_rejects_an_incomplete_or_invalid_file(tmp_path: Path, invalid: bytes) -> None:
     path, env = tmp_path / "config.json", {"EDGE_CONFIG": str(tmp_path / "config.json")}
     path.write_text(json.dumps(config_file()))
-    before = read_config(env)
-    path.write_bytes(bad)
+    old_config = read_config(env)
+    path.write_bytes(invalid)
     with pytest.raises(ConfigError):
-        reread_config(before, env)
+        reread_config(old_config, env)
 
 
-def test_a_complete_file_is_used(tmp_path: Path) -> None:
+def test_reread_config_takes_the_settings_of_a_complete_file(tmp_path: Path) -> None:
     path, env = tmp_path / "config.json", {"EDGE_CONFIG": str(tmp_path / "config.json")}
     path.write_text(json.dumps(config_file()))
-    before = read_config(env)
-    path.write_text(json.dumps(config_file(_grow)))
-    grown = reread_config(before, env)
-    assert grown.settings.classes["plot-2"].fresh == 3.0
+    old_config = read_config(env)
+    path.write_text(json.dumps(config_file(_add_class)))
+    with_new_class = reread_config(old_config, env)
+    assert with_new_class.settings.classes["plot-2"].fresh == 3.0
     path.write_text(json.dumps(config_file()))
-    assert list(reread_config(grown, env).settings.classes) == ["waveform", "plot", "pick-submit"]
+    assert list(reread_config(with_new_class, env).settings.classes) == ["waveform", "plot", "pick-submit"]
 
 
 @run
 async def test_an_open_request_keeps_the_rule_of_its_class() -> None:
     unsafe = replace(
-        BEFORE, classes={"waveform": replace(BEFORE.classes["waveform"], effect="unsafe")}, max_attempts=2
+        OLD_SETTINGS, classes={"waveform": replace(OLD_SETTINGS.classes["waveform"], effect="unsafe")}, max_attempts=2
     )
     async with Stand(*boxes(HANG), module=Plan("a", "b")) as stand:
-        asked = stand.ask()
+        answer = stand.ask()
         await until(lambda: stand.backends[0].seen)
         stand.engine.post(SettingsChanged(unsafe))
         await until(lambda: stand.engine.settings is unsafe)
         stand.backends[1].script = [OK]
         next(iter(stand.engine._attempts.in_flight.values())).stop("cancelled")
-        assert (await asked)[0] == 200  # repeated, as its class allowed when it was taken
+        assert (await answer)[0] == 200  # repeated, as its class allowed when the request was received
         stand.backends[0].script = [RESET]
         count = len(stand.backends[1].seen)
         assert (await stand.ask())[0] == 502 and len(stand.backends[1].seen) == count
@@ -160,15 +166,15 @@
 
 
 @run
-async def test_a_dns_lookup_goes_by_the_new_classes() -> None:
+async def test_dns_lookups_use_the_new_classes() -> None:
     async with DnsStand() as stand:
         assert (await stand.ask(f"7f3a.plot.{ZONE}")).rcode() == dns.rcode.NOERROR
-        stand.front.retune(replace(BEFORE, classes={"waveform": BEFORE.classes["waveform"]}))
+        stand.front.retune(replace(OLD_SETTINGS, classes={"waveform": OLD_SETTINGS.classes["waveform"]}))
         assert (await stand.ask(f"7f3a.plot.{ZONE}")).rcode() == dns.rcode.NXDOMAIN
         assert (await stand.ask(f"7f3a.waveform.{ZONE}")).rcode() == dns.rcode.NOERROR
 
 
-def test_the_router_takes_the_new_class_and_drops_the_old_one() -> None:
+def test_router_serves_a_new_class_and_no_longer_serves_a_removed_one() -> None:
     stage = Stage()
     assert not attempts(stage.ask(rule="new"))
     settings = stage.router.context.settings
@@ -177,26 +183,26 @@
 
 
 @run
-async def test_sighup_takes_up_the_new_class_at_once_and_drops_the_old_one_later(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        path = one.write_config()
-        this = Proxy(read_config({"EDGE_CONFIG": str(path)}))
-        task = asyncio.create_task(this.run())
-        await one.ready()
+async def test_reload_serves_a_new_class_at_once_and_drops_the_old_one_after_the_transition(tmp_path: Path) -> None:
+    async with program(tmp_path) as testbed:
+        path = testbed.write_config()
+        proxy = Proxy(read_config({"EDGE_CONFIG": str(path)}))
+        task = asyncio.create_task(proxy.run())
+        await testbed.ready()
         file = json.loads(path.read_text())
         file["settings"]["classes"][1]["name"] = "plot-2"
         path.write_text(json.dumps(file))
 
         async def statuses() -> list[int]:
-            return [(await fetch(one.port, f"/rpc/{name}/9c"))[0] for name in ("plot", "plot-2")]
+            return [(await fetch(testbed.port, f"/rpc/{name}/9c"))[0] for name in ("plot", "plot-2")]
 
         assert await statuses() == [200, 404]
-        this.reload({"EDGE_CONFIG": str(path)})
+        proxy.reload({"EDGE_CONFIG": str(path)})
         assert await statuses() == [200, 200]
         path.write_text(path.read_text()[:900])
-        this.reload({"EDGE_CONFIG": str(path)})
-        assert this.counters["reloads"] == this.counters["reloads.refused"] == 1
+        proxy.reload({"EDGE_CONFIG": str(path)})
+        assert proxy.counters["reloads"] == proxy.counters["reloads.refused"] == 1
         while await statuses() != [404, 200]:
             await asyncio.sleep(TRANSITION_MS / 10_000)
-        this.stopping.set()
+        proxy.stopping.set()
         await task
