--- a/beechslip/core/attempts.py
+++ b/beechslip/core/attempts.py
@@ -110,7 +110,7 @@
         attempt.alarm = self._clock.call_later(spec.timeout_ms, lambda: attempt.stop("timeout"))
         attempt.task = asyncio.get_running_loop().create_task(self._run(request, attempt))
         # The task does not post its result itself: if it were cancelled before its first step, it would end without
-        # a result, and the router would count the attempt as in flight for good.
+        # posting one, and the router would count the attempt as in flight for good.
         attempt.task.add_done_callback(lambda _: self._post(AttemptFinished(attempt, attempt.result)))
         self._counters.add("sent")
 
@@ -219,8 +219,8 @@
                 (attempt.stop_reason or "cancelled") if attempt.may_have_been_sent else "moot"
             )
         except Exception:
-            # Without a result of its own, the attempt would count as not sent, and if no result at all were posted,
-            # its request would hang.
+            # The engine must get a result, or the request would hang; and not the initial "moot", which would mean
+            # that no backend has run the request.
             self._counters.add("fault.carrier")
             log.exception(
                 "attempt failed with an exception: request=%s attempt=%d",
--- a/beechslip/core/endpoint_table.py
+++ b/beechslip/core/endpoint_table.py
@@ -25,9 +25,8 @@
         """Create an empty table; start times are converted to ``clock``."""
         self.backends: dict[str, Backend] = {}  # by name, draining ones included
         self._clock = clock
-        self._start_times: dict[
-            str, tuple[float, float]
-        ] = {}  # by name: the start time as given in the list, and on this clock
+        # By name: the start time as given in the list, and on this clock.
+        self._start_times: dict[str, tuple[float, float]] = {}
 
     def apply(self, update: EndpointListUpdate) -> tuple[Backend, ...]:
         """Apply a complete list or changes to it, and return the update's backends with start times on this clock."""
@@ -83,7 +82,7 @@
         return
     for backend in backends:
         log.info(
-            "backend listed: name=%s address=%s zone=%s kind=%s state=%s weight=%g started_ms=%.0f",
+            "endpoint list entry: backend=%s address=%s zone=%s kind=%s state=%s weight=%g started_ms=%.0f",
             backend.name,
             backend.address,
             backend.zone,
--- a/beechslip/core/engine.py
+++ b/beechslip/core/engine.py
@@ -38,11 +38,11 @@
 log = logging.getLogger("beechslip.engine")
 
 DEFAULT_MAX_OPEN_REQUESTS = 20_000  # used if the settings give no limit
-LATE_FAILURE_MARGIN_MS = 1.0  # a failure at most this long before the deadline is attributed to the deadline
+LATE_FAILURE_MARGIN_MS = 1.0  # from this long before the deadline on, a failure is attributed to the deadline
 
 
 class Engine:
-    """Owns the router module. All messages come in through ``post``; ``run`` handles them and must be one task."""
+    """Owns the router module. Messages come in through ``post``; ``run``, which must be one task, handles them."""
 
     def __init__(
         self,
--- a/beechslip/core/guards.py
+++ b/beechslip/core/guards.py
@@ -69,9 +69,9 @@
 
 
 def attempts_remain(request: OpenRequest, settings: Settings) -> GuardVerdict:
-    """Forbid a request more attempts than the settings at its arrival or the present ones allow (clause 4.10).
+    """Forbid an attempt beyond the request's attempt limit (clause 4.10).
 
-    The lower limit of the two holds.
+    The limit is the lower of those in the settings at the request's arrival and in the present settings.
     """
     limit = min(request.max_attempts, settings.max_attempts or DEFAULT_MAX_ATTEMPTS)
     return GuardVerdict.ATTEMPTS_EXHAUSTED if request.attempts_sent >= limit else ALLOWED
--- a/beechslip/core/model.py
+++ b/beechslip/core/model.py
@@ -108,7 +108,7 @@
     payload: Payload | None = None
     retry_after_ms: float = 0.0
     cause: Literal["", "deadline", "duplicate", "fault", "sent before"] = ""
-    reason: str = ""  # the reason for the log, such as the one that the router gives
+    reason: str = ""  # why, as stated by the router or the engine; for the log and the counter ``ended.REASON``
 
 
 class AttemptExecutor(Protocol):
--- a/beechslip/core/requests.py
+++ b/beechslip/core/requests.py
@@ -20,7 +20,7 @@
 # little longer than the transfer takes.
 ROUTER_DEADLINE_MARGIN_MS = 8.0
 ENGINE_DEADLINE_MARGIN_MS = 4.0  # the engine ends requests that the router left open this long before clients give up
-MAX_MARGIN_FRACTION = 0.25  # of the client's wait, at most, is the router's margin: short waits get a smaller one
+MAX_MARGIN_FRACTION = 0.25  # the router's margin is at most this fraction of the client's wait, for short waits
 DEFAULT_MAX_ATTEMPTS = 1_000  # used if the settings give no limit
 
 
@@ -72,7 +72,10 @@
         )
 
     def is_refusal_safe(self) -> bool:
-        """Return True if the client may be promised that a retry does no harm (``docs/terms-audit.md`` 4.5)."""
+        """Return True if the client may be promised that a retry does no harm.
+
+        This is clause 4.5 of ``docs/terms-audit.md``.
+        """
         may_have_run = self.first_possible_run_ms is not None or (
             self.attempt is not None and self.attempt.may_have_been_sent
         )
