--- a/beechslip/platform/backend_messages.py
+++ b/beechslip/platform/backend_messages.py
@@ -41,19 +41,16 @@
 
 def attempt_target(attempt: AttemptRequest) -> str:
     """The path that an attempt requests of its backend."""
-    client_request = attempt.client_request
-    return (
-        f"/data/{quote(client_request.class_name, safe='')}/{quote(client_request.object, safe='')}"
-        f"/{client_request.part}"
-    )
+    call = attempt.client_request
+    return f"/data/{quote(call.class_name, safe='')}/{quote(call.object, safe='')}/{call.part}"
 
 
 def attempt_headers(attempt: AttemptRequest, wait_ms: float) -> dict[str, str]:
     """The header fields of an attempt that may last ``wait_ms`` more; what has no value is left out."""
-    client_request = attempt.client_request
-    headers = {"X-Trace": client_request.id, "X-Patience": str(max(int(wait_ms), 1))}
-    if client_request.idempotency_key:
-        headers["X-Op-Key"] = client_request.idempotency_key
+    call = attempt.client_request
+    headers = {"X-Trace": call.id, "X-Patience": str(max(int(wait_ms), 1))}
+    if call.idempotency_key:
+        headers["X-Op-Key"] = call.idempotency_key
     if attempt.source:
         headers["X-Next-Hop"] = attempt.source
     if attempt.keep:
@@ -64,20 +61,20 @@
     hints = [word for word, enabled in flags if enabled]
     if hints:
         headers["X-Hints"] = "+".join(hints)
-    if client_request.etag:
-        headers["X-Validator"] = client_request.etag
+    if call.etag:
+        headers["X-Validator"] = call.etag
     return headers
 
 
 def attempt_message(attempt: AttemptRequest, wait_ms: float) -> bytes:
     """An attempt's request in its wire form, with ``wait_ms`` as the time that the backend has."""
-    client_request = attempt.client_request
+    call = attempt.client_request
     fields = {"Host": attempt.backend.address} | attempt_headers(attempt, wait_ms)
-    if client_request.write:
-        fields["Content-Length"] = str(len(client_request.body))
+    if call.write:
+        fields["Content-Length"] = str(len(call.body))
     head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-    method = "PUT" if client_request.write else "GET"
-    return f"{method} {attempt_target(attempt)} HTTP/1.1\r\n{head}\r\n".encode() + client_request.body
+    method = "PUT" if call.write else "GET"
+    return f"{method} {attempt_target(attempt)} HTTP/1.1\r\n{head}\r\n".encode() + call.body
 
 
 def parse_load_report(text: str) -> dict[str, float]:
@@ -122,12 +119,12 @@
     report: dict[str, float],
 ) -> AttemptResult:
     """The result of a 200 or 304: "spoilt" where it does not identify its copy."""
-    etag = fields.get("x-digest", "")
-    identified = _DIGEST.match(etag) and _TIMESTAMP.match(fields.get("x-stamp", ""))
+    tag = fields.get("x-digest", "")
+    identified = _DIGEST.match(tag) and _TIMESTAMP.match(fields.get("x-stamp", ""))
     if not write and not identified:  # writes leave no copy, so their responses need not identify one
         return AttemptResult("spoilt")
     if status == 200:
-        return AttemptResult("ok", note, report, Payload(body, etag))
-    if etag != requested_tag:  # it names another copy than the client has
+        return AttemptResult("ok", note, report, Payload(body, tag))
+    if tag != requested_tag:  # it names another copy than the client has
         return AttemptResult("spoilt")
-    return AttemptResult("ok", note, report, Payload(b"", etag, is_not_modified=True))
+    return AttemptResult("ok", note, report, Payload(b"", tag, is_not_modified=True))
