--- a/beechslip/budgets/health_check.py
+++ b/beechslip/budgets/health_check.py
@@ -21,7 +21,7 @@
         """Check ``backend`` if ``may_start`` allows the first byte."""
         ...
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Use the backends of another endpoint list."""
         ...
 
@@ -45,9 +45,9 @@
         self._inner = inner
         self._gate = gate
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Use the backends of another endpoint list."""
-        self._inner.follow(backends)
+        self._inner.update_backends(backends)
 
     async def health_check(self, backend: Backend) -> AttemptResult:
         """Check ``backend`` once a token is available, and return the result."""
--- a/beechslip/budgets/part.py
+++ b/beechslip/budgets/part.py
@@ -119,9 +119,9 @@
 
     # Settings, limits and posted quotas --------------------------------------------------------------------
 
-    def follow(self, backends: Iterable[Backend]) -> None:
+    def update_backends(self, backends: Iterable[Backend]) -> None:
         """Use the backends of another endpoint list. The quotas are posted at the next tick."""
-        self.plan.follow(backends)
+        self.plan.update_backends(backends)
         self._posted_ms = -math.inf
 
     def retune(self, settings: Settings) -> None:
@@ -191,7 +191,7 @@
         self._is_confirm_scheduled = False
         self.node.confirm(self._clock.steady_ms())
 
-    def longest_ms(self, *backends: str) -> float:
+    def max_attempt_duration_ms(self, *backends: str) -> float:
         """Return how long an attempt to or through ``backends`` may last.
 
         A fill must end within ``fill_ms``, because its quota no longer counts it after that.
@@ -212,13 +212,13 @@
             return False
         in_flight = [cost.limit for cost in costs if cost.limit.startswith(_FILLS_PREFIX)]
         if in_flight or is_retry:
-            self._allowed_attempts[attempt.call.id, attempt.number] = _AllowedAttempt(in_flight, is_retry)
+            self._allowed_attempts[attempt.client_request.id, attempt.number] = _AllowedAttempt(in_flight, is_retry)
         return True
 
-    def ended(self, attempt: AttemptRequest, outcome: AttemptResult) -> None:
+    def attempt_ended(self, attempt: AttemptRequest, outcome: AttemptResult) -> None:
         """Release what an allowed attempt occupied, now that it has ended with ``outcome``."""
         now_ms = self._clock.steady_ms()
-        allowed = self._allowed_attempts.pop((attempt.call.id, attempt.number), _NOTHING_SPENT)
+        allowed = self._allowed_attempts.pop((attempt.client_request.id, attempt.number), _NOTHING_SPENT)
         for name in allowed.in_flight:
             self.node.release(now_ms, name, outcome.result in RESULTS_ENDED_BY_BACKEND)
         if allowed.is_retry and outcome.result in SERVED_RESULTS:
--- a/beechslip/budgets/plan.py
+++ b/beechslip/budgets/plan.py
@@ -83,7 +83,7 @@
         deadlines_s = (rule.deadline or DEFAULT_DEADLINE_S for rule in settings.classes.values())
         self.longest_deadline_s = max(self.longest_deadline_s, *deadlines_s, MIN_LONGEST_DEADLINE_S)
 
-    def follow(self, backends: Iterable[Backend]) -> None:
+    def update_backends(self, backends: Iterable[Backend]) -> None:
         """Use the backends of another endpoint list from now on."""
         self.backends = {backend.name: backend for backend in backends}
 
@@ -187,7 +187,9 @@
             "cache": "",
         }
         plan = BudgetPlan(self.config, self.settings)
-        plan.follow(Backend(role, "", kind, self.settings.zone, started_ms=1.0) for role, kind in kinds.items())
+        plan.update_backends(
+            Backend(role, "", kind, self.settings.zone, started_ms=1.0) for role, kind in kinds.items()
+        )
         return plan.limits(2.0)
 
     def slow_start_limits(self, now_ms: float) -> Mapping[str, SlowStartLimit]:
--- a/beechslip/dns/lookup.py
+++ b/beechslip/dns/lookup.py
@@ -71,7 +71,7 @@
         self._write_response(messages.failure_response(self._query, text))
 
     @property
-    def departed(self) -> bool:
+    def has_client_departed(self) -> bool:
         """True if the client has left or has its response."""
         return self.is_answered
 
--- a/beechslip/duties/shared.py
+++ b/beechslip/duties/shared.py
@@ -9,7 +9,7 @@
   others through the duty node.
 - A report from another member reaches the module as an ``i.HealthCheckResult``, as its own health check would.
 
-The list of duties follows the listed backends (``follow``), so no state remains of a backend that has gone.
+The list of duties follows the listed backends (``update_backends``), so no state remains of a backend that has gone.
 """
 
 from __future__ import annotations
@@ -61,11 +61,11 @@
         self._post = post
         self._backends: dict[str, Backend] = {}
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Use the listed backends as the duties."""
         self._backends = dict(backends)
         self.node.set_duties(tuple(self._backends))
-        self._inner.follow(backends)
+        self._inner.update_backends(backends)
 
     async def health_check(self, backend: Backend) -> AttemptResult:
         """Return another member's fresh result, or else make and report a health check."""
--- a/beechslip/platform/backend_messages.py
+++ b/beechslip/platform/backend_messages.py
@@ -49,16 +49,16 @@
 
 def attempt_target(attempt: AttemptRequest) -> str:
     """Return the path that an attempt requests from its backend."""
-    request = attempt.call
+    request = attempt.client_request
     return f"/data/{quote(request.class_name, safe='')}/{quote(request.object, safe='')}/{request.part}"
 
 
 def attempt_headers(attempt: AttemptRequest, wait_ms: float) -> dict[str, str]:
     """Return the header fields of an attempt that may last ``wait_ms`` more. Fields without a value are left out."""
-    request = attempt.call
+    request = attempt.client_request
     headers = {"X-Trace": request.id, "X-Patience": str(max(int(wait_ms), 1))}
-    if request.token:
-        headers["X-Op-Key"] = request.token
+    if request.idempotency_key:
+        headers["X-Op-Key"] = request.idempotency_key
     if attempt.source:
         headers["X-Next-Hop"] = attempt.source
     if attempt.keep:
@@ -69,14 +69,14 @@
     hints = [word for word, enabled in flags if enabled]
     if hints:
         headers["X-Hints"] = "+".join(hints)
-    if request.tag:
-        headers["X-Validator"] = request.tag
+    if request.etag:
+        headers["X-Validator"] = request.etag
     return headers
 
 
 def attempt_request_bytes(attempt: AttemptRequest, wait_ms: float) -> bytes:
     """Return an attempt's request in its wire form. ``wait_ms`` is the time that the backend has."""
-    request = attempt.call
+    request = attempt.client_request
     fields = {"Host": attempt.backend.address} | attempt_headers(attempt, wait_ms)
     if request.write:
         fields["Content-Length"] = str(len(request.body))
@@ -135,4 +135,4 @@
         return AttemptResult("ok", note, report, Payload(body, tag))
     if tag != requested_tag:  # the response names another copy than the one that the client has
         return AttemptResult("spoilt")
-    return AttemptResult("ok", note, report, Payload(b"", tag, same=True))
+    return AttemptResult("ok", note, report, Payload(b"", tag, is_not_modified=True))
--- a/beechslip/platform/backends.py
+++ b/beechslip/platform/backends.py
@@ -70,7 +70,7 @@
         self._pool.close()
         await asyncio.sleep(0)  # lets the connections process their end
 
-    def follow(self, backends: Mapping[str, Backend]) -> None:
+    def update_backends(self, backends: Mapping[str, Backend]) -> None:
         """Take the backends that are listed now, by name."""
         self._pool.set_listed_backends(backends)
 
@@ -169,7 +169,7 @@
 
         ``may_start`` is called right before the first byte is written.
         """
-        request = attempt.call
+        request = attempt.client_request
         received = await self._exchange(
             attempt.backend, lambda: attempt_request_bytes(attempt, self._remaining_ms(attempt)), may_start
         )
@@ -181,17 +181,17 @@
             response.fields,
             response.body,
             self._visible_notes,
-            request.tag,
+            request.etag,
             request.write,
         )
         if result.result == "spoilt":
             self._counters.add("depot.spoilt")
-        result.at_ms = received.read_ms
+        result.ended_ms = received.read_ms
         return result
 
     def _remaining_ms(self, attempt: AttemptRequest) -> float:
         """Return how long the attempt may still last. Its backend gets no more time than its client has left."""
-        return min(attempt.timeout_ms, attempt.ends_ms - self._clock.now_ms())
+        return min(attempt.timeout_ms, attempt.timeout_at_ms - self._clock.now_ms())
 
     async def health_check(self, backend: Backend, may_start: Callable[[], bool] = lambda: True) -> AttemptResult:
         """Request a backend's health page.
--- a/beechslip/platform/front.py
+++ b/beechslip/platform/front.py
@@ -55,7 +55,7 @@
             self.final_response.set_result(final_response)
 
     @property
-    def departed(self) -> bool:
+    def has_client_departed(self) -> bool:
         """True if the client has closed its connection."""
         return self._connection.has_client_departed
 
@@ -64,8 +64,8 @@
     """Convert a final response to an HTTP response."""
     payload = final_response.payload
     if final_response.kind == "served" and payload is not None:
-        headers = {"ETag": f'"{payload.tag}"'} if payload.tag else {}
-        if payload.same:
+        headers = {"ETag": f'"{payload.etag}"'} if payload.etag else {}
+        if payload.is_not_modified:
             return web.Response(status=304, headers=headers)
         return web.Response(body=payload.body, headers=headers, content_type="application/octet-stream")
     if final_response.kind == "refused":
--- a/tests/test_budgets_settings.py
+++ b/tests/test_budgets_settings.py
@@ -142,7 +142,7 @@
     config = _budgets_config()
     plan, now_ms = BudgetPlan(config, SETTINGS), 1_000_000.0
     warming_hub = Backend("h", "a", "parent", "hub", started_ms=now_ms)
-    plan.follow(
+    plan.update_backends(
         [
             warming_hub,
             Backend("o", "a", "origin", "hub"),
--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -37,7 +37,7 @@
     part = BudgetPart(
         node, plan, stand.clock, stand.counters, stand.engine.post if has_posted_quotas else lambda message: None
     )
-    part.follow(stand.engine._endpoints.backends.values())
+    part.update_backends(stand.engine._endpoints.backends.values())
     part.tick(now_ms - 1e5)
     for quota in node.quotas.values():
         quota._loans.clear()
@@ -147,14 +147,14 @@
             self.began += 1
             return AttemptResult("ok")
 
-        def follow(self, backends: Any) -> None:
+        def update_backends(self, backends: Any) -> None:
             pass
 
     async with Stand(*backends()) as stand:
         part = attach_budgets(stand, probes_per_s=1.0, probe_burst=1.0)
         inner = Inner()
         health_checker = BudgetedHealthChecker(inner, part)
-        health_checker.follow(stand.engine._endpoints.backends.values())
+        health_checker.update_backends(stand.engine._endpoints.backends.values())
         assert (await health_checker.health_check(Backend("a", "x"))).result == "ok"
         second = asyncio.create_task(health_checker.health_check(Backend("a", "x")))
         await asyncio.sleep(0.12)
@@ -167,7 +167,7 @@
 async def test_dns_hand_outs_spend_the_slow_start_quota() -> None:
     async with DnsStand(module=AlwaysPlan("s-0")) as stand:
         # 0.3 transfers x 3 s x half of 2.5 x 0.18 warm allow two request_tasks of 100 ms within 3 s.
-        stand.engine.step(EndpointListUpdate("changes", (box(0, started_ms=stand.clock.now_ms()),)))
+        stand.engine.handle_message(EndpointListUpdate("changes", (box(0, started_ms=stand.clock.now_ms()),)))
         attach_budgets(stand, cache_bears=0.3)
         names = objects_homed_in(0)[:4]
         answers = [await stand.ask(f"{name}.waveform.{ZONE}", "A") for name in names]
--- a/tests/test_duties_wire.py
+++ b/tests/test_duties_wire.py
@@ -233,7 +233,7 @@
         self.checked.append(backend.name)
         return AttemptResult("ok")
 
-    def follow(self, backends: object) -> None:
+    def update_backends(self, backends: object) -> None:
         pass
 
 
@@ -243,7 +243,7 @@
     node = DutyNode(Membership("me", clock.now_ms(), ("other",)), ())
     shared = SharedHealthChecker(inner, node, clock, Counters(), posted.append)
     backends = [Backend(f"box{n}", f"127.0.0.1:{9000 + n}") for n in range(6)]
-    shared.follow({backend.name: backend for backend in backends})
+    shared.update_backends({backend.name: backend for backend in backends})
     theirs = next(backend for backend in backends if node.rank(backend.name) != 0)
     mine = next(backend for backend in backends if node.rank(backend.name) == 0)
     now = clock.now_ms()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -169,10 +169,12 @@
     # The task of the attempt runs none of its code then. Without an outcome the router module would count the attempt
     # as in flight forever.
     async with Stand(*default_backends(), module=(router := ScriptedRouter("a"))) as stand:
-        response_sink: Any = type("Sink", (), {"answer": staticmethod(lambda final: None), "departed": False})()
+        response_sink: Any = type(
+            "Sink", (), {"answer": staticmethod(lambda final: None), "has_client_departed": False}
+        )()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
-        stand.engine.step(RequestReceived(call, stand.client, response_sink))
-        stand.engine.step(ClientDisconnected("1", response_sink))
+        stand.engine.handle_message(RequestReceived(call, stand.client, response_sink))
+        stand.engine.handle_message(ClientDisconnected("1", response_sink))
         await until(lambda: any(isinstance(event, i.Outcome) for event in router.received_events))
         assert not stand.engine._attempts.in_flight and not stand.backends[0].seen
 
@@ -185,12 +187,14 @@
     async with Stand(*default_backends(), module=router) as stand:
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
-        response_sink: Any = type("Sink", (), {"answer": staticmethod(final.set_result), "departed": False})()
-        stand.engine.step(RequestReceived(call, stand.client, response_sink))
+        response_sink: Any = type(
+            "Sink", (), {"answer": staticmethod(final.set_result), "has_client_departed": False}
+        )()
+        stand.engine.handle_message(RequestReceived(call, stand.client, response_sink))
         draining_entry = next(backend for backend in stand.backends if backend.name == draining_name).entry(
             "draining"
         )
-        stand.engine.step(EndpointListUpdate("changes", (draining_entry,)))
+        stand.engine.handle_message(EndpointListUpdate("changes", (draining_entry,)))
         assert (await final).kind == "failed"
         assert not any(backend.seen for backend in stand.backends) and stand.counters["attempt.moot"] == 1
 
@@ -200,7 +204,9 @@
     async with Stand(*default_backends()) as stand:
         home, other = stand.home()
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
-        response_sink: Any = type("Sink", (), {"answer": staticmethod(final.set_result), "departed": False})()
+        response_sink: Any = type(
+            "Sink", (), {"answer": staticmethod(final.set_result), "has_client_departed": False}
+        )()
         call = ClientRequest("1", "waveform", "7f3a", group=4, wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
         stand.engine.post(RequestReceived(call, stand.client, response_sink))
         stand.engine.post(PurgeReceived("", 4, stand.clock.now_ms() - 200))
@@ -252,10 +258,10 @@
     async with Stand(module=ScriptedRouter()) as stand:
         for n in range(50):
             response_sink: Any = type(
-                "Answerer", (), {"answer": staticmethod(lambda final: None), "departed": False}
+                "Answerer", (), {"answer": staticmethod(lambda final: None), "has_client_departed": False}
             )()
             call = ClientRequest(str(n), "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
-            stand.engine.step(RequestReceived(call, stand.client, response_sink))
+            stand.engine.handle_message(RequestReceived(call, stand.client, response_sink))
         lines = [line for line in caplog.messages if " failed after " in line]
         assert stand.counters["answered.failed"] == 50 and len(lines) == 20
 
@@ -267,7 +273,7 @@
         await until(lambda: stand.backends[0].seen)
         asked.cancel()
         await until(lambda: stand.backends[0].closed)
-        await until(stand.engine.quiet.is_set)
+        await until(stand.engine.no_requests_open.is_set)
         assert stand.counters["left"] == 1 and not stand.engine._attempts.in_flight
         assert any(isinstance(event, i.ClientGone) for event in stand.module.received_events)
 
