--- a/beechslip/peering_builder.py
+++ b/beechslip/peering_builder.py
@@ -207,7 +207,7 @@
         )
         part = RegionPart(node, self._config.settings, self._clock, self._counters, self._post)
         if budgets is not None:
-            part.warmup_exhausted = budgets.slow_start_full
+            part.is_warmup_exhausted = budgets.slow_start_full
         self._health_checker = ListedHealthChecker(self._health_checker, part)
         self._parts.append(part)
         return part
--- a/beechslip/regions/__init__.py
+++ b/beechslip/regions/__init__.py
@@ -1,1 +1,1 @@
-"""Leaving the caches of a zone or a hub region as a fleet, and returning to it at a pace that its backends carry."""
+"""Stop using a failing region of caches or hubs across the whole fleet, and return to it at a pace it can carry."""
--- a/beechslip/regions/applied_order.py
+++ b/beechslip/regions/applied_order.py
@@ -1,55 +1,59 @@
-"""The newest coordinator's order that a proxy has applied: its version and the table that the proxy goes by."""
+"""The newest order of the coordinator that a proxy has applied: its version and its table of region statuses."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
 from beechslip.regions.messages import CoordinatorOrder, region_id
-from beechslip.regions.report_log import version_of
+from beechslip.regions.report_log import order_version
 from beechslip.regions.status import RegionStatus, RegionTable
 
 
-def history_table(table: RegionTable) -> dict[str, list[int]]:
-    """By region, state and step, as history events have them."""
+def table_for_history(table: RegionTable) -> dict[str, list[int]]:
+    """Return the state and the step of each region, in the form that history events use."""
     return {name: [int(status.state), status.step] for name, status in table.items()}
 
 
 class AppliedOrder:
-    """Token, epoch and table of the newest order. Times are steady-clock ms.
+    """The token, epoch and table of the newest order that was applied. Times are steady-clock ms.
 
-    ``names`` has the listed regions by id. An order may name others, which are ignored until they are listed.
+    ``region_names`` maps the id of each listed region to its name. An order may contain other regions; they are
+    ignored until they are listed.
     """
 
     def __init__(self, started_ms: float) -> None:
-        """Start without an order: all regions are in."""
+        """Create the state before the first order, in which all regions are in."""
         self.token = 0
         self.epoch = 0
-        self.names: dict[int, str] = {}
+        self.region_names: dict[int, str] = {}
         self._statuses: dict[int, RegionStatus] = {}
-        self._heard_ms = started_ms  # when this order, or a newer one, was last received
+        self._last_received_ms = started_ms  # time at which this order or a newer one was last received
 
     @property
     def version(self) -> tuple[int, int]:
-        """Token and epoch, by which orders are compared; (0, 0) before the first."""
+        """The token and epoch of the order, by which orders are compared; (0, 0) before the first order."""
         return self.token, self.epoch
 
     def set_regions(self, names: Iterable[str]) -> None:
-        """Take the regions that the change log names."""
-        self.names = {region_id(name): name for name in names}
+        """Set the listed regions to those in the change log."""
+        self.region_names = {region_id(name): name for name in names}
 
     def table(self) -> dict[str, RegionStatus]:
-        """By listed region, its status."""
-        return {name: self._statuses.get(number, RegionStatus()) for number, name in self.names.items()}
+        """Return the status of each listed region."""
+        return {name: self._statuses.get(number, RegionStatus()) for number, name in self.region_names.items()}
 
-    def message(self) -> CoordinatorOrder:
-        """The order as a message, for members that have missed it."""
+    def to_message(self) -> CoordinatorOrder:
+        """Return the order as a message, to send to members that have missed it."""
         return CoordinatorOrder(self.token, self.epoch, self._statuses)
 
-    def apply(self, now_ms: float, order: CoordinatorOrder) -> frozenset[str] | None:
-        """Apply ``order`` if it is newer: the listed regions whose part of the traffic changes, else ``None``."""
-        version = version_of(order)
+    def apply_if_newer(self, now_ms: float, order: CoordinatorOrder) -> frozenset[str] | None:
+        """Apply ``order`` if it is newer than the applied one.
+
+        Return the listed regions whose traffic fraction changes, or ``None`` if ``order`` is not newer.
+        """
+        version = order_version(order)
         if version >= self.version:
-            self._heard_ms = max(self._heard_ms, now_ms)
+            self._last_received_ms = max(self._last_received_ms, now_ms)
         if version <= self.version:
             return None
         before = self._statuses
@@ -59,17 +63,18 @@
         return self._changed_regions(before)
 
     def is_expired(self, now_ms: float, expiry_ms: float) -> bool:
-        """Whether there is an order that was last received ``expiry_ms`` ago or earlier."""
-        return bool(self._statuses) and now_ms - self._heard_ms >= expiry_ms
+        """True if the table is not empty and its order was last received at least ``expiry_ms`` ago."""
+        return bool(self._statuses) and now_ms - self._last_received_ms >= expiry_ms
 
     def clear_table(self) -> None:
-        """Take all regions as in; the version stays, so that no older order is applied."""
+        """Treat all regions as in. The version is kept, so that no older order is applied afterwards."""
         self._statuses = {}
 
     def _changed_regions(self, before: Mapping[int, RegionStatus]) -> frozenset[str]:
+        """Return the listed regions whose traffic fraction differs from that in the statuses ``before``."""
         default = RegionStatus()
         return frozenset(
             name
-            for number, name in self.names.items()
+            for number, name in self.region_names.items()
             if before.get(number, default).traffic_fraction != self._statuses.get(number, default).traffic_fraction
         )
--- a/beechslip/regions/guards.py
+++ b/beechslip/regions/guards.py
@@ -1,38 +1,44 @@
-"""Limits on what may be out of service at once; they hold for the coordinator's decisions and operators' commands.
+"""Limits on the regions that may be out at once, for the coordinator's decisions and for operators' commands.
 
-Never more than ``max_out_fraction`` of a role's backends are out, and never the last region of hubs. A region that
-is on its way back counts as out until its ramp has ended.
+At most ``max_out_fraction`` of a role's backends may be out, and the last hub region may never be out. A region that
+is returning counts as out until its recovery ramp has ended.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from beechslip.regions.status import HUB_ROLE, RegionStatus, RegionTable, regions_of_role, role, roles
+from beechslip.regions.status import HUB_ROLE, RegionStatus, RegionTable, region_role, region_roles, regions_of_role
 
-ROUNDING = 1e-9  # backends; a product of a fraction and a count may come out slightly under the whole number
+ROUNDING_TOLERANCE = 1e-9  # in backends; a fraction times a count may come out slightly below the whole number
 
 
-def may_leave(region: str, table: RegionTable, sizes: Mapping[str, int], max_out_fraction: float) -> bool:
-    """Whether ``region`` may be out besides those regions of its role that are not fully in by ``table``."""
-    of_role = regions_of_role(sizes, role(region))
-    away = {name for name in of_role if table.get(name, RegionStatus()).traffic_fraction < 1.0}
-    away.add(region)
-    if sum(of_role[name] for name in away) > max_out_fraction * sum(of_role.values()):
+def may_leave(region: str, table: RegionTable, backend_counts: Mapping[str, int], max_out_fraction: float) -> bool:
+    """True if ``region`` may be out in addition to the regions of its role that are not fully in by ``table``."""
+    role_backend_counts = regions_of_role(backend_counts, region_role(region))
+    not_fully_in = {name for name in role_backend_counts if table.get(name, RegionStatus()).traffic_fraction < 1.0}
+    not_fully_in.add(region)
+    if sum(role_backend_counts[name] for name in not_fully_in) > max_out_fraction * sum(role_backend_counts.values()):
         return False
-    return role(region) != HUB_ROLE or len(away) < len(of_role)
+    return region_role(region) != HUB_ROLE or len(not_fully_in) < len(role_backend_counts)
 
 
-def within_guards(table: RegionTable, sizes: Mapping[str, int], max_out_fraction: float) -> bool:
-    """Whether ``table`` keeps to the limits, for checkers and for the coordinator after a change of ``sizes``.
+def is_within_limits(table: RegionTable, backend_counts: Mapping[str, int], max_out_fraction: float) -> bool:
+    """True if ``table`` is within the limits.
 
-    A role's only region may be out where operators allow all of the role (a fraction of 1) and it is no hub.
+    The coordinator calls this after a change of ``backend_counts``; checkers call it, too. The only region of a role
+    other than hub may be out if operators allow all of the role to be out (a fraction of 1).
     """
-    for name in roles(sizes):
-        of_role = regions_of_role(sizes, name)
-        away = [region for region in of_role if table.get(region, RegionStatus()).traffic_fraction < 1.0]
-        if sum(of_role[region] for region in away) > max_out_fraction * sum(of_role.values()) + ROUNDING:
+    for name in region_roles(backend_counts):
+        role_backend_counts = regions_of_role(backend_counts, name)
+        not_fully_in = [
+            region for region in role_backend_counts if table.get(region, RegionStatus()).traffic_fraction < 1.0
+        ]
+        if (
+            sum(role_backend_counts[region] for region in not_fully_in)
+            > max_out_fraction * sum(role_backend_counts.values()) + ROUNDING_TOLERANCE
+        ):
             return False
-        if name == HUB_ROLE and away and len(away) >= len(of_role):
+        if name == HUB_ROLE and not_fully_in and len(not_fully_in) >= len(role_backend_counts):
             return False
     return True
--- a/beechslip/regions/node_types.py
+++ b/beechslip/regions/node_types.py
@@ -1,4 +1,4 @@
-"""What a region node reads of the leases, its times, and the types of what it hands to its caller."""
+"""The types around a region node: its view of the leases, its timing, its messages and its history events."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 from beechslip.regions.messages import RegionMessage
 
-LEASE = "steward"  # the lease's name in datagrams, settings and the history
+LEASE = "steward"  # the coordinator's lease, by its name in datagrams, settings and the history
 
 
-Outgoing = list[tuple[str, RegionMessage]]
-"""Messages to send, each with the member that it goes to."""
+OutgoingMessages = list[tuple[str, RegionMessage]]
+"""Messages to send, each with the member that receives it."""
 
-HistoryNote = Callable[..., None]
-"""Takes the kind of a history event and its facts as keywords."""
+HistoryWriter = Callable[..., None]
+"""Writes a history event: takes its kind, and its fields as keyword arguments."""
 
 
 class LeaseView(Protocol):
-    """What is read of the leases; :class:`beechslip.leases.node.LeaseNode` provides it."""
+    """Read access to the leases, as :class:`beechslip.leases.node.LeaseNode` provides it."""
 
     def held(self, name: str, now_ms: float) -> int | None:
-        """The token of the lease ``name`` while this proxy holds it, else ``None``."""
+        """Return the token of the lease ``name`` if this proxy holds it, else ``None``."""
 
     def holder(self, name: str, now_ms: float) -> str:
-        """The member that holds the lease as far as this proxy knows; "" if none does."""
+        """Return the member that holds the lease ``name`` as far as this proxy knows; "" if none does."""
 
 
-def no_history(kind: str, **facts: object) -> None:
-    """Drop a history event."""
+def discard_history_event(kind: str, **facts: object) -> None:
+    """Write no history event."""
 
 
 @dataclass(frozen=True, slots=True)
 class RegionTiming:
     """Times in ms, from the table ``regions`` of the fleet file.
 
-    ``report_interval_ms`` lies between reports; a report older than ``report_expiry_ms`` is not counted; a member
-    that has just started is not counted as knowing the newest order for ``recovery_ms``; without a coordinator for
-    ``order_expiry_ms`` an order is dropped.
+    A report is sent every ``report_interval_ms``, and a report older than ``report_expiry_ms`` is not counted. For
+    ``recovery_ms`` after its start a member does not count as knowing the newest order. After ``order_expiry_ms``
+    without a coordinator an order is dropped.
     """
 
     report_interval_ms: float = 250.0
--- a/beechslip/regions/report_log.py
+++ b/beechslip/regions/report_log.py
@@ -1,4 +1,4 @@
-"""The last report of each member, as a coordinator has received it."""
+"""The newest report of each member that a coordinator has received."""
 
 from __future__ import annotations
 
@@ -7,29 +7,31 @@
 
 from beechslip.regions.messages import CoordinatorOrder, RegionReport
 
-NO_ORDER = (0, 0)  # the version before the first order
+NO_ORDER_VERSION = (0, 0)  # the version of a member that has not applied any order
 
 
-def version_of(message: RegionReport | CoordinatorOrder) -> tuple[int, int]:
-    """Token and epoch, by which orders are compared: of an order, or of the one that a report acknowledges."""
+def order_version(message: RegionReport | CoordinatorOrder) -> tuple[int, int]:
+    """Return the version (token and epoch) of an order, or of the order that a report acknowledges."""
     return message.token, message.epoch
 
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedReport:
+    """A report and the steady-clock time (ms) at which it was received."""
+
     received_ms: float
     report: RegionReport
 
 
 class ReportLog:
-    """By member, its newest report and when that was received. Times are steady-clock ms."""
+    """The newest report of each member and the time at which it was received. Times are steady-clock ms."""
 
     def __init__(self) -> None:
-        """Start without reports."""
+        """Create a log without reports."""
         self._reports: dict[str, _ReceivedReport] = {}
 
     def record(self, now_ms: float, sender: str, report: RegionReport) -> None:
-        """Keep ``report`` if it is the newest of ``sender``; a duplicate or one overtaken on its way is ignored."""
+        """Keep ``report`` if it is the newest of ``sender``; ignore duplicate and overtaken reports."""
         received = self._reports.get(sender)
         if received is not None:
             last = received.report
@@ -41,8 +43,8 @@
         """Forget all reports."""
         self._reports.clear()
 
-    def current(self, now_ms: float, members: Collection[str], expiry_ms: float) -> dict[str, RegionReport]:
-        """By member among ``members``, its last report if that is younger than ``expiry_ms``."""
+    def unexpired_reports(self, now_ms: float, members: Collection[str], expiry_ms: float) -> dict[str, RegionReport]:
+        """Return the newest report of each of the ``members`` whose report is younger than ``expiry_ms``."""
         return {
             member: received.report
             for member, received in self._reports.items()
--- a/beechslip/regions/settings.py
+++ b/beechslip/regions/settings.py
@@ -1,4 +1,4 @@
-"""The table ``regions`` of ``deploy/fleet.toml``; errors name file, table and key."""
+"""The settings in the table ``regions`` of ``deploy/fleet.toml``. Errors name the file, the table and the key."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 from beechslip.regions.coordinator import CoordinatorTuning
 from beechslip.regions.node_types import RegionTiming
 
-KEYS = ("enabled", "report_ms", "stale_ms", "fresh_ms", "forget_ms", "out_ms", "step_ms", "most_out", "calm_ms")
+TABLE_KEYS = ("enabled", "report_ms", "stale_ms", "fresh_ms", "forget_ms", "out_ms", "step_ms", "most_out", "calm_ms")
 
-DEFAULT_REPORT_MS = 250.0
-DEFAULT_EXPIRY_REPORTS = 6  # report intervals, after which a report is not counted
-MIN_EXPIRY_REPORTS = 3  # so that two lost datagrams do not make a member silent
-MIN_STEP_REPORTS = 2  # so that a step is judged by reports made within it
-DEFAULT_RECOVERY_LEASES = 2  # lease times for which a member that has just started knows no order
+DEFAULT_REPORT_INTERVAL_MS = 250.0
+DEFAULT_EXPIRY_REPORTS = 6  # report intervals after which a report is no longer counted
+MIN_EXPIRY_REPORTS = 3  # two lost datagrams must not make a member count as silent
+MIN_STEP_REPORTS = 2  # a step must be judged by reports made within it
+DEFAULT_RECOVERY_LEASES = 2  # lease durations for which a started member does not count as knowing the newest order
 
 
 @dataclass(frozen=True, slots=True)
 class RegionsConfig:
-    """The settings of the coordinator and of every node."""
+    """The settings of the coordinator and the timing of every node."""
 
     tuning: CoordinatorTuning
     timing: RegionTiming
 
 
 def read_regions(fleet: FleetConfig, leases: LeasesConfig | None) -> RegionsConfig | None:
-    """The table's settings, ``None`` if it is not ``enabled``; ConfigError names a wrong key."""
-    table = Table(f"{fleet.file}: regions", fleet.tables["regions"], KEYS)
+    """Return the table's settings, or ``None`` if it is not ``enabled``; raise ConfigError for a wrong key."""
+    table = Table(f"{fleet.file}: regions", fleet.tables["regions"], TABLE_KEYS)
     if not table.flag("enabled"):
         return None
     if leases is None:
-        raise table.fail("enabled", "is true, but the table leases is off: the steward holds a lease")
+        raise table.fail("enabled", "is true, but the table leases is off: the coordinator of regions needs a lease")
     timing = _read_timing(table, leases)
     return RegionsConfig(_read_tuning(table, timing.report_interval_ms), timing)
 
 
 def _read_timing(table: Table, leases: LeasesConfig) -> RegionTiming:
-    report_ms = table.number("report_ms", DEFAULT_REPORT_MS)
+    report_ms = table.number("report_ms", DEFAULT_REPORT_INTERVAL_MS)
     expiry_ms = table.number("stale_ms", DEFAULT_EXPIRY_REPORTS * report_ms)
     if expiry_ms < MIN_EXPIRY_REPORTS * report_ms:
         raise table.fail(
             "stale_ms",
-            f"is {expiry_ms:g}, under three times report_ms {report_ms:g}: two lost datagrams would make a proxy "
-            "silent",
+            f"is {expiry_ms:g}: expected at least three times report_ms ({report_ms:g}), so that two lost datagrams "
+            "do not make a proxy count as silent",
         )
     return RegionTiming(
         report_ms,
@@ -65,7 +65,7 @@
     if tuning.step_ms < MIN_STEP_REPORTS * report_ms:
         raise table.fail(
             "step_ms",
-            f"is {tuning.step_ms:g}, under twice report_ms {report_ms:g}: a step would be over "
-            "before any report on it has come",
+            f"is {tuning.step_ms:g}: expected at least twice report_ms ({report_ms:g}), so that reports on a step "
+            "arrive before it ends",
         )
     return tuning
--- a/beechslip/regions/status.py
+++ b/beechslip/regions/status.py
@@ -1,7 +1,7 @@
-"""Where the fleet stands with one region: its state, its step of the recovery ramp and an operator's hold.
+"""The status of a region for the whole fleet: its state, its step of the recovery ramp and an operator hold.
 
-A region is ``cache:ZONE`` (the caches of a station) or ``hub:ZONE`` (the parents of a hub zone). The part before the
-colon is its role. Pure data, shared by the coordinator, the messages and the proxies that apply an order.
+A region is named ``cache:ZONE`` (the caches of a station) or ``hub:ZONE`` (the parents of a hub zone). The part
+before the colon is its role. The coordinator, the messages and the proxies that apply an order share these types.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-# The part of a region's objects that is routed to it again, by step of the recovery ramp.
+# The fraction of a region's objects that is routed to it, for each step of the recovery ramp.
 RECOVERY_FRACTIONS = (0.0625, 0.125, 0.25, 0.5, 1.0)
 
-# The wait before a return doubles at most this often; three bits of a datagram carry the number of doublings.
-MAX_BACKOFF = 6
+# The wait before a return stops doubling at this level; three bits of a datagram hold the level.
+MAX_BACKOFF_LEVEL = 6
 
 HUB_ROLE = "hub"
 CACHE_ROLE = "cache"
 
 
 class RegionState(IntEnum):
-    """State of a region for the whole fleet. The values go into datagrams and into the history."""
+    """The state of a region for the whole fleet. The values are written to datagrams and to the history."""
 
     IN = 0
     LEAVING = 1
@@ -31,20 +31,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionStatus:
-    """What an order says of one region.
+    """The status of one region in an order.
 
-    ``step`` indexes :data:`RECOVERY_FRACTIONS` while the region returns; ``backoff`` counts how often the wait before
-    a return has doubled; with ``operator_hold`` the coordinator changes nothing by itself.
+    ``step`` is an index into :data:`RECOVERY_FRACTIONS` while the region returns. ``backoff_level`` determines the
+    wait before a return: the initial wait at level 1, and twice the previous level's wait from there on. It is 0
+    for a region that has not been left recently. With ``has_operator_hold`` the coordinator does not change the
+    status by itself.
     """
 
     state: RegionState = RegionState.IN
     step: int = 0
-    backoff: int = 0
-    operator_hold: bool = False
+    backoff_level: int = 0
+    has_operator_hold: bool = False
 
     @property
     def traffic_fraction(self) -> float:
-        """The part (0 to 1) of the region's objects that is routed to it."""
+        """The fraction (0 to 1) of the region's objects that is routed to it."""
         if self.state is RegionState.IN:
             return 1.0
         if self.state is RegionState.RETURNING:
@@ -53,18 +55,19 @@
 
 
 RegionTable = Mapping[str, RegionStatus]
+"""The status of each region, by its name."""
 
 
-def role(region: str) -> str:
-    """The part of a region's name before the colon: ``hub`` or ``cache``."""
+def region_role(region: str) -> str:
+    """Return the part of a region's name before the colon: ``hub`` or ``cache``."""
     return region.partition(":")[0]
 
 
-def roles(sizes: Mapping[str, int]) -> list[str]:
-    """The roles that ``sizes`` (by region) has regions of, in alphabetical order."""
-    return sorted({role(name) for name in sizes})
+def region_roles(backend_counts: Mapping[str, int]) -> list[str]:
+    """Return the roles of the regions in ``backend_counts``, in alphabetical order."""
+    return sorted({region_role(name) for name in backend_counts})
 
 
-def regions_of_role(sizes: Mapping[str, int], wanted: str) -> dict[str, int]:
-    """The entries of ``sizes`` (by region: its backends in service) that have the role ``wanted``."""
-    return {name: size for name, size in sizes.items() if role(name) == wanted}
+def regions_of_role(backend_counts: Mapping[str, int], wanted_role: str) -> dict[str, int]:
+    """Return the backends in service (``backend_counts``) of the regions with the role ``wanted_role``."""
+    return {name: count for name, count in backend_counts.items() if region_role(name) == wanted_role}
--- a/lab/region_checker.py
+++ b/lab/region_checker.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from beechslip.regions.guards import within_guards
+from beechslip.regions.guards import is_within_limits
 from beechslip.regions.status import RegionState, RegionStatus
 from lab.check import MOST_KEPT, Violation
 
@@ -72,7 +72,7 @@
         table = {name: RegionStatus(RegionState(state), step) for name, (state, step) in places.items()}
         away = sum(status.traffic_fraction < 1 for status in table.values())
         self.max_away = max(self.max_away, away)
-        if not within_guards(table, self.sizes, self.max_out_fraction):
+        if not is_within_limits(table, self.sizes, self.max_out_fraction):
             self._report("over-guard", event, f"{places}")
         self._applied[incarnation] = version
         self._appliers.setdefault(version, set()).add(incarnation)
--- a/lab/region_faults.py
+++ b/lab/region_faults.py
@@ -51,7 +51,7 @@
         token = self._leases.held(LEASE, now_ms)
         if token is not None and token != self._tenure_token:
             self._tenure_token = token
-            self._coordinator = RegionCoordinator(self.tuning, self.order.table(), now_ms)
+            self._coordinator = RegionCoordinator(self.tuning, self.applied_order.table(), now_ms)
         return coordinate(self, now_ms)
 
     return broken
@@ -101,7 +101,7 @@
     GROUP,
     "a proxy applies an older order that arrives late",
     AppliedOrder,
-    "apply",
+    "apply_if_newer",
     _any_order,
 )
 register_replacement(
@@ -115,7 +115,7 @@
     GROUP,
     "a new coordinator does not ask for the newest order",
     RegionNode,
-    "_coordinate",
+    "_run_coordinator_round",
     _no_recovery,
 )
 register_replacement(
@@ -126,6 +126,6 @@
     GROUP,
     "the next order does not wait for acknowledgements of the last",
     RegionNode,
-    "_acknowledged",
+    "_is_acknowledged_by_majority",
     _no_acknowledgement,
 )
--- a/lab/virtual_regions.py
+++ b/lab/virtual_regions.py
@@ -24,8 +24,8 @@
     OperatorRequest,
     OperatorResponse,
     RegionReport,
-    decode_region,
-    encode_region,
+    decode_region_message,
+    encode_region_message,
 )
 from beechslip.regions.node import RegionNode
 from beechslip.regions.node_types import LEASE, RegionTiming
@@ -152,7 +152,7 @@
         if name in self.members and not self.members[name].stopped:
             number = self.rng.getrandbits(40) + 1
             local_ms = self._local(self.members[name])
-            self._send_regions(name, self.nodes[name].submit(local_ms, number, region, command, operator))
+            self._send_regions(name, self.nodes[name].submit_command(local_ms, number, region, command, operator))
 
     def _boot(self, name: str) -> None:
         super()._boot(name)
@@ -192,7 +192,7 @@
     def _serve(self, name: str, node: RegionNode, local_ms: float) -> None:
         """One request: at the member's station, unless that is out; some fill through the object's hub."""
         rng = self._traffic
-        table = node.order.table()
+        table = node.applied_order.table()
         station = f"cache:s{int(name[1:]) % STATIONS}"
         fraction = table[station].traffic_fraction
         if fraction >= 1.0 or rng.random() < fraction:
@@ -225,10 +225,10 @@
     def _send_regions(self, sender: str, outgoing: Any) -> None:
         messages: list[Any] = []
         for to, message in outgoing:
-            data = encode(Message("region", sender, 0, body=encode_region(message)), FLEET_NAME)
+            data = encode(Message("region", sender, 0, body=encode_region_message(message)), FLEET_NAME)
             self.region_datagrams += 1
             self.region_bytes += len(data)
-            received = decode_region(decode(data, FLEET_NAME).body) if self.use_region_codec else message
+            received = decode_region_message(decode(data, FLEET_NAME).body) if self.use_region_codec else message
             messages.append((to, received))
         self._send(sender, messages)
 
--- a/tests/test_region_evidence.py
+++ b/tests/test_region_evidence.py
@@ -25,7 +25,7 @@
     for _ in range(3):
         evidence.record_failure(1000.0, "hub:a")
     assert evidence.statistics(1000.0)["hub:a"].score == pytest.approx(9.0, abs=0.1)
-    evidence.reset(frozenset({"hub:a", "hub:odd"}))
+    evidence.reset_regions(frozenset({"hub:a", "hub:odd"}))
     assert "hub:a" not in evidence.statistics(1000.0)
     for n in range(1000):  # rare errors decay: one in a hundred
         now_ms = 2000.0 + n * 10
@@ -61,11 +61,11 @@
     assert set(evidence.statistics(0.0)) == {"hub:a", "hub:b"}
     evidence.record_failed_fill(10.0, "cache:s", "hub:c", False)
     assert evidence.statistics(10.0)["cache:s"].failures == 1
-    assert not evidence.local_fault(10.0)  # responses came, so the link is sound
+    assert not evidence.has_local_fault(10.0)  # responses came, so the link is sound
     for region in ("hub:a", "hub:b", "hub:c", "cache:s"):
         evidence.record_failure(5000.0, region)
-    assert evidence.local_fault(5000.0)
-    evidence.record_load(5000.0, "hub:a", 7.0)
+    assert evidence.has_local_fault(5000.0)
+    evidence.record_utilization(5000.0, "hub:a", 7.0)
     assert evidence.statistics(5000.0)["hub:a"].utilization == pytest.approx(0.2)
     evidence.set_regions({"hub:a": 2})
     assert set(evidence.statistics(5000.0)) == {"hub:a"}
--- a/tests/test_region_node.py
+++ b/tests/test_region_node.py
@@ -19,16 +19,16 @@
     OperatorRequest,
     OperatorResponse,
     RegionReport,
-    decode_region,
-    encode_region,
+    decode_region_message,
+    encode_region_message,
     region_id,
 )
 from beechslip.regions.node import RegionNode
 from beechslip.regions.status import RegionState, RegionStatus
-from tests.region_helpers import exchange, grant, make_nodes
+from tests.region_helpers import grant_lease, make_nodes, tick_and_deliver
 
 
-def fail_attempts(nodes: list[RegionNode], now_ms: float, region: str) -> None:
+def record_failed_attempts(nodes: list[RegionNode], now_ms: float, region: str) -> None:
     for node in nodes:
         for _ in range(4):
             node.evidence.record_failure(now_ms, region)
@@ -36,72 +36,72 @@
 
 def test_a_coordinator_needs_a_majority_and_its_successor_goes_on_from_its_order() -> None:
     nodes, leases = make_nodes()
-    grant(leases, "d0", 10)
+    grant_lease(leases, "d0", 10)
     for k in range(6):
-        exchange(nodes, 250.0 * k)
-    assert {node.order.version for node in nodes} == {(10, 1)}
-    fail_attempts(nodes, 1500.0, "hub:a")
+        tick_and_deliver(nodes, 250.0 * k)
+    assert {node.applied_order.version for node in nodes} == {(10, 1)}
+    record_failed_attempts(nodes, 1500.0, "hub:a")
     for k in range(6, 12):
-        exchange(nodes, 250.0 * k, frozenset({"d2"}))
-    assert nodes[1].order.table()["hub:a"].state is RegionState.OUT
-    assert nodes[2].order.epoch == 1  # it has missed the order
-    grant(leases, "d2", 20)
+        tick_and_deliver(nodes, 250.0 * k, frozenset({"d2"}))
+    assert nodes[1].applied_order.table()["hub:a"].state is RegionState.OUT
+    assert nodes[2].applied_order.epoch == 1  # it has missed the order
+    grant_lease(leases, "d2", 20)
     for k in range(12, 16):
-        exchange(nodes, 250.0 * k)
+        tick_and_deliver(nodes, 250.0 * k)
     for node in nodes:  # the successor has caught up first
-        assert node.order.token == 20
-        assert node.order.epoch >= 4
-    assert {node.order.table()["hub:a"].traffic_fraction for node in nodes} == {0.0}
+        assert node.applied_order.token == 20
+        assert node.applied_order.epoch >= 4
+    assert {node.applied_order.table()["hub:a"].traffic_fraction for node in nodes} == {0.0}
     assert nodes[0].receive(4000.0, "d1", CoordinatorOrder(10, 99)) == []  # of the former coordinator
-    assert nodes[0].order.token == 20
-    before = nodes[2].order.epoch
-    fail_attempts(nodes, 4000.0, "cache:s")
+    assert nodes[0].applied_order.token == 20
+    before = nodes[2].applied_order.epoch
+    record_failed_attempts(nodes, 4000.0, "cache:s")
     for k in range(24, 30):
-        exchange(nodes, 250.0 * k, frozenset({"d0", "d1"}))
-    assert nodes[2].order.epoch == before  # a minority makes no order
+        tick_and_deliver(nodes, 250.0 * k, frozenset({"d0", "d1"}))
+    assert nodes[2].applied_order.epoch == before  # a minority makes no order
     for lease in leases:
-        lease.name = ""
-    exchange(nodes, 60_000.0)
+        lease.holder_name = ""
+    tick_and_deliver(nodes, 60_000.0)
     for node in nodes:
-        assert node.order.table()["hub:a"] == RegionStatus()
-        assert node.counts["forgotten"] == 1
+        assert node.applied_order.table()["hub:a"] == RegionStatus()
+        assert node.event_counts["forgotten"] == 1
 
 
 def test_without_a_coordinator_a_command_is_refused() -> None:
     nodes, _ = make_nodes()
-    assert nodes[0].submit(0.0, 1, "hub:a", OperatorCommand.OUT, 7) == []
-    assert nodes[0].response(1) == OperatorResponse(region_id("hub:a"), CommandOutcome.NOT_COORDINATOR, 1)
+    assert nodes[0].submit_command(0.0, 1, "hub:a", OperatorCommand.OUT, 7) == []
+    assert nodes[0].command_response(1) == OperatorResponse(region_id("hub:a"), CommandOutcome.NOT_COORDINATOR, 1)
 
 
 def test_operators_commands_are_done_once_or_refused_with_a_reason() -> None:
     nodes, leases = make_nodes()
-    grant(leases, "d0", 10)
+    grant_lease(leases, "d0", 10)
     for k in range(4):
-        exchange(nodes, 250.0 * k)
+        tick_and_deliver(nodes, 250.0 * k)
 
     def outcome(number: int, region: str, command: OperatorCommand, operator: int) -> CommandOutcome:
         now_ms = 1000.0 * number
-        [(to, request)] = nodes[1].submit(now_ms, number, region, command, operator)
+        [(to, request)] = nodes[1].submit_command(now_ms, number, region, command, operator)
         [(_, response)] = nodes[0].receive(now_ms, "d1", request)
         # Retry while an order of the coordinator's own is not acknowledged yet.
         while isinstance(response, OperatorResponse) and response.outcome is CommandOutcome.BUSY:
             now_ms += 50.0
-            exchange(nodes, now_ms)
+            tick_and_deliver(nodes, now_ms)
             [(_, response)] = nodes[0].receive(now_ms, "d1", request)
         nodes[1].receive(now_ms, to, response)
-        received = nodes[1].response(number)
+        received = nodes[1].command_response(number)
         assert received is not None
         for k in (1, 2, 3):
-            exchange(nodes, now_ms + 260.0 * k)
+            tick_and_deliver(nodes, now_ms + 260.0 * k)
         return received.outcome
 
     assert outcome(2, "hub:a", OperatorCommand.OUT, 7) is CommandOutcome.DONE
-    assert nodes[2].order.table()["hub:a"].operator_hold
+    assert nodes[2].applied_order.table()["hub:a"].has_operator_hold
     assert outcome(3, "hub:a", OperatorCommand.RETURN, 8) is CommandOutcome.REFUSED_OTHER
     assert outcome(4, "hub:b", OperatorCommand.OUT, 8) is CommandOutcome.REFUSED_GUARD
     assert outcome(5, "hub:x", OperatorCommand.OUT, 8) is CommandOutcome.UNKNOWN
     assert outcome(6, "hub:a", OperatorCommand.FREE, 7) is CommandOutcome.DONE
-    assert not nodes[2].order.table()["hub:a"].operator_hold
+    assert not nodes[2].applied_order.table()["hub:a"].has_operator_hold
     assert outcome(7, "hub:a", OperatorCommand.RETURN, 8) is CommandOutcome.DONE
     assert outcome(7, "hub:a", OperatorCommand.RETURN, 8) is CommandOutcome.DONE  # a repeat
 
@@ -110,7 +110,7 @@
 def test_any_bytes_are_a_message_or_an_error(data: bytes) -> None:
     for tag in (b"", b"r", b"o", b"a", b"s"):
         with contextlib.suppress(CodecError):
-            decode_region(tag + data)
+            decode_region_message(tag + data)
 
 
 def test_messages_survive_their_codec_and_fit_a_datagram() -> None:
@@ -122,20 +122,20 @@
         OperatorRequest(1 << 60, 5, OperatorCommand.HOLD, 3),
         OperatorResponse(5, CommandOutcome.DONE, 1 << 60),
     ):
-        data = encode_region(message)
-        assert decode_region(data) == message
+        data = encode_region_message(message)
+        assert decode_region_message(data) == message
         assert len(encode(Message("region", "d511", 0, body=data), "caroni-feeds")) <= MOST_BYTES
 
 
 def test_the_binary_form_of_messages_is_stable() -> None:
     """Members of another version read these bytes."""
     report = RegionReport(1, 2, 3, 4, True, False, {5: RegionStatistics(1.0, 0.5, 0.5, 2.0)})
-    assert encode_region(report).hex() == (
+    assert encode_region_message(report).hex() == (
         "72000000000000000100000002000000000000000300000004" + "0101" + "00000005001000086414"
     )
     order = CoordinatorOrder(3, 4, {5: RegionStatus(RegionState.RETURNING, 2, 1, True)})
-    assert encode_region(order).hex() == "6f000000000000000300000004" + "01" + "000000052b" + "01"
+    assert encode_region_message(order).hex() == "6f000000000000000300000004" + "01" + "000000052b" + "01"
     request = OperatorRequest(9, 5, OperatorCommand.HOLD, 7)
-    assert encode_region(request).hex() == "610000000000000009" + "00000005" + "03" + "00000007"
+    assert encode_region_message(request).hex() == "610000000000000009" + "00000005" + "03" + "00000007"
     response = OperatorResponse(5, CommandOutcome.BUSY, 9)
-    assert encode_region(response).hex() == "7300000005" + "06" + "0000000000000009"
+    assert encode_region_message(response).hex() == "7300000005" + "06" + "0000000000000009"
--- a/tests/test_region_part.py
+++ b/tests/test_region_part.py
@@ -21,7 +21,7 @@
 from beechslip.fleet.settings import read_fleet
 from beechslip.leases.settings import read_leases
 from beechslip.platform.ops import OpsFront
-from beechslip.regions.messages import CoordinatorOrder, encode_region, region_id
+from beechslip.regions.messages import CoordinatorOrder, encode_region_message, region_id
 from beechslip.regions.node import RegionNode
 from beechslip.regions.part import RegionPart
 from beechslip.regions.settings import read_regions
@@ -29,7 +29,7 @@
 from beechslip.routing import interface as i
 from lab.stand import HANG, Stand, StandBackend, free_port, run, until
 from tests.helpers import ORIGIN, PARENTS, SETTINGS, Stage
-from tests.region_helpers import grant, make_nodes
+from tests.region_helpers import grant_lease, make_nodes
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
 def order_datagram(epoch: int, status: RegionStatus) -> Message:
     """An order of the coordinator ``d1`` for the station's caches."""
     order = CoordinatorOrder(5, epoch, {region_id("cache:edge-1"): status})
-    return Message("region", "d1", 0, body=encode_region(order))
+    return Message("region", "d1", 0, body=encode_region_message(order))
 
 
 @run
@@ -116,7 +116,7 @@
     async with Stand(*backends) as stand:
         nodes, _ = make_nodes(1)
         regions = attach_part(stand, nodes[0])
-        assert nodes[0].sizes == {"cache:edge-1": 2, "hub:north": 1}
+        assert nodes[0].backend_counts == {"cache:edge-1": 2, "hub:north": 1}
         await stand.ask()
         assert nodes[0].evidence.statistics(stand.clock.steady_ms())["cache:edge-1"].attempts > 0
         assert regions.oldest_ms("a") == float("inf")
@@ -183,7 +183,7 @@
 async def test_an_operators_call_gets_a_response_and_wrong_parameters_are_refused() -> None:
     async with Stand(StandBackend("a", HANG), StandBackend("hub", kind="parent", zone="north")) as stand:
         nodes, leases = make_nodes(1)
-        grant(leases, "d0", 9)
+        grant_lease(leases, "d0", 9)
         regions = attach_part(stand, nodes[0])
         for _ in range(4):
             stand.clock.advance(260)
@@ -195,12 +195,12 @@
         assert (await regions.execute_command(call | {"region": "hub:odd", "number": "78"}, lambda sends: None))[
             0
         ] == 404
-        leases[0].name = ""
+        leases[0].holder_name = ""
         assert (await regions.execute_command(call | {"number": "79"}, lambda sends: None))[0] == 503
 
 
 @contextlib.contextmanager
-def operators_port(port: int, page: Mapping[str, Any], received: list[str]) -> Iterator[None]:
+def serve_operators_port(port: int, page: Mapping[str, Any], received: list[str]) -> Iterator[None]:
     """An operators' port in a thread: serves ``page`` and records commands, of which it does only "out"."""
     ready = threading.Event()
     stop = threading.Event()
@@ -250,7 +250,7 @@
         config = tmp_path / f"{name}.json"
         config.write_text(f'{{"ops": "{ops}"}}')
         assert main(["--store", url, "instance", "add", name, "--config", str(config)]) == 0
-    with operators_port(port, page, received):
+    with serve_operators_port(port, page, received):
         assert main(["--store", url, "region", "list"]) == 0
         listing = capsys.readouterr().out
         assert "steward d1, order 9.4, told by n1" in listing
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -7,18 +7,18 @@
 import pytest
 
 from beechslip.regions.coordinator import CoordinatorTuning, RegionCoordinator
-from beechslip.regions.detection import PooledScore, Reports, pooled_score
+from beechslip.regions.detection import PooledScore, ReportedStatistics, pooled_score
 from beechslip.regions.failure_evidence import RegionStatistics
-from beechslip.regions.guards import within_guards
+from beechslip.regions.guards import is_within_limits
 from beechslip.regions.status import RECOVERY_FRACTIONS, RegionState, RegionStatus
 from lab.injected_faults import registered
 from lab.region_trials import run_trial
 from lab.virtual_regions import RegionFleet
-from tests.region_helpers import SIZES, TUNING
+from tests.region_helpers import BACKEND_COUNTS, TUNING
 
-GOOD = RegionStatistics(10, 0, 0.2, 0.0)
-BAD = RegionStatistics(4, 4, 0.2, 12.0)
-OUT = RegionStatus(RegionState.OUT, 0, 1)
+GOOD_STATISTICS = RegionStatistics(10, 0, 0.2, 0.0)
+BAD_STATISTICS = RegionStatistics(4, 4, 0.2, 12.0)
+OUT_STATUS = RegionStatus(RegionState.OUT, 0, 1)
 
 
 # In virtual time ---------------------------------------------------------------------------------------------------
@@ -50,10 +50,12 @@
 # Leaving -----------------------------------------------------------------------------------------------------------
 
 
-def make_reports(bad: int = 0, good: int = 5, region: str = "hub:a", others: RegionStatistics = GOOD) -> Reports:
+def make_reports(
+    bad: int = 0, good: int = 5, region: str = "hub:a", others: RegionStatistics = GOOD_STATISTICS
+) -> ReportedStatistics:
     """``bad`` proxies for which ``region`` fails, ``good`` for which it does not; other hubs are as ``others``."""
-    rest = {name: others for name in SIZES if name.startswith("hub") and name != region}
-    return {f"d{n}": {region: BAD if n < bad else GOOD, **rest} for n in range(bad + good)}
+    rest = {name: others for name in BACKEND_COUNTS if name.startswith("hub") and name != region}
+    return {f"d{n}": {region: BAD_STATISTICS if n < bad else GOOD_STATISTICS, **rest} for n in range(bad + good)}
 
 
 @pytest.mark.parametrize(
@@ -63,13 +65,13 @@
         (make_reports(2), True),
         (make_reports(1), False),
         (make_reports(0), False),
-        (make_reports(4, others=BAD), False),  # all alike: the fault lies behind them
-        ({"d0": {"hub:a": BAD}}, False),
-        ({"d0": {"hub:a": BAD}, "d1": {"hub:a": RegionStatistics(9, 1, 0, 1.0)}}, False),
+        (make_reports(4, others=BAD_STATISTICS), False),  # all alike: the fault lies behind them
+        ({"d0": {"hub:a": BAD_STATISTICS}}, False),
+        ({"d0": {"hub:a": BAD_STATISTICS}, "d1": {"hub:a": RegionStatistics(9, 1, 0, 1.0)}}, False),
     ],
 )
-def test_a_region_is_left_if_several_proxies_have_met_failures(reports: Reports, leaves: bool) -> None:
-    changes = RegionCoordinator(TUNING, {}, 0.0).decide(1000.0, SIZES, reports)
+def test_a_region_is_left_if_several_proxies_have_met_failures(reports: ReportedStatistics, leaves: bool) -> None:
+    changes = RegionCoordinator(TUNING, {}, 0.0).decide_changes(1000.0, BACKEND_COUNTS, reports)
     assert (changes.get("hub:a", RegionStatus()).state is RegionState.LEAVING) is leaves
 
 
@@ -82,21 +84,25 @@
 
 def test_guards_prevent_leaving_a_second_hub_and_the_last_one() -> None:
     coordinator = RegionCoordinator(TUNING, {}, 0.0)
-    coordinator.apply(0.0, {"hub:a": OUT})
-    reports = {f"d{n}": {"hub:a": BAD, "hub:b": BAD, "hub:c": GOOD} for n in range(4)}
-    assert "hub:b" not in coordinator.decide(10.0, SIZES, reports)
-    unlimited = RegionCoordinator(CoordinatorTuning(max_out_fraction=1.0), {"hub:a": OUT, "hub:b": OUT}, 0.0)
-    assert unlimited.may_leave("hub:c", SIZES) is False
-    assert not within_guards({name: RegionStatus(RegionState.OUT) for name in SIZES}, SIZES, 1.0)
+    coordinator.apply_changes(0.0, {"hub:a": OUT_STATUS})
+    reports = {
+        f"d{n}": {"hub:a": BAD_STATISTICS, "hub:b": BAD_STATISTICS, "hub:c": GOOD_STATISTICS} for n in range(4)
+    }
+    assert "hub:b" not in coordinator.decide_changes(10.0, BACKEND_COUNTS, reports)
+    unlimited = RegionCoordinator(
+        CoordinatorTuning(max_out_fraction=1.0), {"hub:a": OUT_STATUS, "hub:b": OUT_STATUS}, 0.0
+    )
+    assert unlimited.may_leave("hub:c", BACKEND_COUNTS) is False
+    assert not is_within_limits({name: RegionStatus(RegionState.OUT) for name in BACKEND_COUNTS}, BACKEND_COUNTS, 1.0)
 
 
 def test_the_change_log_takes_back_or_forgets_a_region_that_is_out() -> None:
     coordinator = RegionCoordinator(TUNING, {}, 0.0)
-    coordinator.apply(0.0, {"hub:a": OUT})
+    coordinator.apply_changes(0.0, {"hub:a": OUT_STATUS})
     # One of the three hubs is drained: too few are left while hub:a is out.
-    assert coordinator.decide(20.0, {"hub:a": 2, "hub:b": 1}, {})["hub:a"].state is RegionState.IN
+    assert coordinator.decide_changes(20.0, {"hub:a": 2, "hub:b": 1}, {})["hub:a"].state is RegionState.IN
     # hub:a itself is removed.
-    assert coordinator.decide(20.0, {"hub:b": 1, "hub:c": 1}, {})["hub:a"] == RegionStatus()
+    assert coordinator.decide_changes(20.0, {"hub:b": 1, "hub:c": 1}, {})["hub:a"] == RegionStatus()
 
 
 # Returning ---------------------------------------------------------------------------------------------------------
@@ -109,15 +115,17 @@
         self.coordinator = RegionCoordinator(TUNING, {"hub:a": status}, 0.0)
         self.now_ms = 0.0
 
-    def after(self, elapsed_ms: float, reports: Reports, strained: frozenset[str] = frozenset()) -> RegionStatus:
+    def status_after(
+        self, elapsed_ms: float, reports: ReportedStatistics, strained_regions: frozenset[str] = frozenset()
+    ) -> RegionStatus:
         """The region's status once ``elapsed_ms`` have passed and the coordinator has decided."""
         self.now_ms += elapsed_ms
-        changes = self.coordinator.decide(self.now_ms, SIZES, reports, strained)
-        self.coordinator.apply(self.now_ms, changes)
+        changes = self.coordinator.decide_changes(self.now_ms, BACKEND_COUNTS, reports, strained_regions)
+        self.coordinator.apply_changes(self.now_ms, changes)
         return changes.get("hub:a", self.coordinator.table["hub:a"])
 
     def set_status(self, status: RegionStatus) -> None:
-        self.coordinator.apply(self.now_ms, {"hub:a": status})
+        self.coordinator.apply_changes(self.now_ms, {"hub:a": status})
 
 
 def test_a_return_goes_by_steps_that_strain_prolongs_and_failures_take_back() -> None:
@@ -125,32 +133,32 @@
     sound = make_reports(0)
     failing = make_reports(3)
     # The second wait is twice the first.
-    assert recovery.after(1900, sound).state is RegionState.OUT
-    assert recovery.after(101, sound) == RegionStatus(RegionState.RETURNING, 0, 2)
-    assert recovery.after(101, sound).step == 1
-    assert recovery.after(50, sound).step == 1
-    assert recovery.after(51, sound).step == 2
+    assert recovery.status_after(1900, sound).state is RegionState.OUT
+    assert recovery.status_after(101, sound) == RegionStatus(RegionState.RETURNING, 0, 2)
+    assert recovery.status_after(101, sound).step == 1
+    assert recovery.status_after(50, sound).step == 1
+    assert recovery.status_after(51, sound).step == 2
     # Strain, nearly full links, and some failures each prolong a step.
-    assert recovery.after(101, sound, frozenset({"hub:a"})).step == 2
-    assert recovery.after(101, {"d0": {"hub:a": RegionStatistics(10, 0, 0.95, 0)}}).step == 2
+    assert recovery.status_after(101, sound, frozenset({"hub:a"})).step == 2
+    assert recovery.status_after(101, {"d0": {"hub:a": RegionStatistics(10, 0, 0.95, 0)}}).step == 2
     some = {name: {"hub:a": RegionStatistics(10, 3, 0.1, 8.0)} for name in ("d0", "d1")}
-    assert recovery.after(101, some).step == 2
+    assert recovery.status_after(101, some).step == 2
     # More failures take back a step, and the second time in a row they end the return with twice the wait.
-    assert recovery.after(101, failing).step == 1
-    assert recovery.after(101, failing) == RegionStatus(RegionState.LEAVING, 0, 3)
-    assert recovery.after(1, sound).state is RegionState.OUT
-    assert recovery.after(3999, sound).state is RegionState.OUT
-    recovery.after(2, sound)
+    assert recovery.status_after(101, failing).step == 1
+    assert recovery.status_after(101, failing) == RegionStatus(RegionState.LEAVING, 0, 3)
+    assert recovery.status_after(1, sound).state is RegionState.OUT
+    assert recovery.status_after(3999, sound).state is RegionState.OUT
+    recovery.status_after(2, sound)
     for _ in RECOVERY_FRACTIONS:
-        recovery.after(101, sound)
+        recovery.status_after(101, sound)
     assert recovery.coordinator.table["hub:a"] == RegionStatus(RegionState.IN, 0, 3)
     # A failure soon after doubles the wait again; after a long time without one the backoff is reset.
-    assert recovery.after(4000, failing) == RegionStatus(RegionState.LEAVING, 0, 4)
+    assert recovery.status_after(4000, failing) == RegionStatus(RegionState.LEAVING, 0, 4)
     recovery.set_status(RegionStatus(RegionState.IN, 0, 4))
-    assert recovery.after(5001, sound) == RegionStatus()
+    assert recovery.status_after(5001, sound) == RegionStatus()
 
 
 def test_a_region_that_an_operator_holds_stays_out() -> None:
     recovery = Recovery(RegionStatus())
-    recovery.set_status(RegionStatus(RegionState.OUT, 0, 1, operator_hold=True))
-    assert recovery.after(9999, make_reports(0)).state is RegionState.OUT
+    recovery.set_status(RegionStatus(RegionState.OUT, 0, 1, has_operator_hold=True))
+    assert recovery.status_after(9999, make_reports(0)).state is RegionState.OUT
