--- a/tests/test_region_evidence.py
+++ b/tests/test_region_evidence.py
@@ -1,4 +1,4 @@
-"""What one proxy observes of each region, and how a fault is told from a slow or distant region."""
+"""Tests of a proxy's evidence on regions: failures, late responses, failed fills and local faults."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from beechslip.regions.failure_evidence import MAX_REGIONS, FailureEvidence
 
 
-def test_a_slow_region_is_distinguished_from_a_distant_one() -> None:
+def test_evidence_tells_a_slowed_region_from_a_distant_one() -> None:
     evidence = FailureEvidence()
     for n in range(100):
         evidence.record_response(n * 20.0, "hub:far", 400.0)
@@ -18,7 +18,7 @@
     assert statistics["hub:near"].score > 10
 
 
-def test_earlier_successes_do_not_hide_failures() -> None:
+def test_score_is_not_lowered_by_earlier_successes() -> None:
     evidence = FailureEvidence()
     for n in range(500):
         evidence.record_response(n * 2.0, "hub:a", 40.0)
@@ -27,7 +27,7 @@
     assert evidence.statistics(1000.0)["hub:a"].score == pytest.approx(9.0, abs=0.1)
     evidence.reset_regions(frozenset({"hub:a", "hub:odd"}))
     assert "hub:a" not in evidence.statistics(1000.0)
-    for n in range(1000):  # rare errors decay: one in a hundred
+    for n in range(1000):  # one attempt in a hundred fails, so the score decays
         now_ms = 2000.0 + n * 10
         if n % 100 == 0:
             evidence.record_failure(now_ms, "hub:a")
@@ -36,7 +36,7 @@
     assert evidence.statistics(12_000.0)["hub:a"].score == 0.0
 
 
-def test_a_minority_of_outliers_is_no_failing_region() -> None:
+def test_score_stays_zero_while_only_a_minority_of_backends_fails() -> None:
     evidence = FailureEvidence()
     evidence.set_regions({"cache:s": 4, "hub:a": 1})
     for n in range(40):
@@ -50,10 +50,10 @@
         assert evidence.statistics(500.0)["cache:s"].score == 0.0
         for n in range(40, 50):
             evidence.record_failure(10.0 * n, "cache:s", True, f"s-{backend}")
-    assert evidence.statistics(500.0)["cache:s"].score > 20  # three of four fail
+    assert evidence.statistics(500.0)["cache:s"].score > 20  # three of four backends fail
 
 
-def test_a_cache_is_blamed_only_if_no_source_does_better() -> None:
+def test_failed_fill_counts_against_the_cache_only_if_all_sources_fail() -> None:
     evidence = FailureEvidence()
     evidence.record_fill(0.0, "cache:s", "hub:c")
     evidence.record_failed_fill(0.0, "cache:s", "hub:a", False)
@@ -61,7 +61,7 @@
     assert set(evidence.statistics(0.0)) == {"hub:a", "hub:b"}
     evidence.record_failed_fill(10.0, "cache:s", "hub:c", False)
     assert evidence.statistics(10.0)["cache:s"].failures == 1
-    assert not evidence.has_local_fault(10.0)  # responses came, so the link is sound
+    assert not evidence.has_local_fault(10.0)  # there were responses, so the proxy's own link works
     for region in ("hub:a", "hub:b", "hub:c", "cache:s"):
         evidence.record_failure(5000.0, region)
     assert evidence.has_local_fault(5000.0)
--- a/tests/test_region_node.py
+++ b/tests/test_region_node.py
@@ -1,4 +1,4 @@
-"""Orders, acknowledgements and operators' commands between region nodes, and their datagrams."""
+"""Tests of orders, acknowledgements and operators' commands between region nodes, and of their datagrams."""
 
 from __future__ import annotations
 
@@ -29,12 +29,13 @@
 
 
 def record_failed_attempts(nodes: list[RegionNode], now_ms: float, region: str) -> None:
+    """Record four failed attempts at ``region`` at each of the ``nodes``."""
     for node in nodes:
         for _ in range(4):
             node.evidence.record_failure(now_ms, region)
 
 
-def test_a_coordinator_needs_a_majority_and_its_successor_goes_on_from_its_order() -> None:
+def test_coordinator_needs_a_majority_and_its_successor_continues_from_its_order() -> None:
     nodes, leases = make_nodes()
     grant_lease(leases, "d0", 10)
     for k in range(6):
@@ -44,21 +45,21 @@
     for k in range(6, 12):
         tick_and_deliver(nodes, 250.0 * k, frozenset({"d2"}))
     assert nodes[1].applied_order.table()["hub:a"].state is RegionState.OUT
-    assert nodes[2].applied_order.epoch == 1  # it has missed the order
+    assert nodes[2].applied_order.epoch == 1  # d2 has missed the order
     grant_lease(leases, "d2", 20)
     for k in range(12, 16):
         tick_and_deliver(nodes, 250.0 * k)
-    for node in nodes:  # the successor has caught up first
+    for node in nodes:  # the successor has applied the missed order before it made its own
         assert node.applied_order.token == 20
         assert node.applied_order.epoch >= 4
     assert {node.applied_order.table()["hub:a"].traffic_fraction for node in nodes} == {0.0}
-    assert nodes[0].receive(4000.0, "d1", CoordinatorOrder(10, 99)) == []  # of the former coordinator
+    assert nodes[0].receive(4000.0, "d1", CoordinatorOrder(10, 99)) == []  # an order of the former coordinator
     assert nodes[0].applied_order.token == 20
-    before = nodes[2].applied_order.epoch
+    epoch_before = nodes[2].applied_order.epoch
     record_failed_attempts(nodes, 4000.0, "cache:s")
     for k in range(24, 30):
         tick_and_deliver(nodes, 250.0 * k, frozenset({"d0", "d1"}))
-    assert nodes[2].applied_order.epoch == before  # a minority makes no order
+    assert nodes[2].applied_order.epoch == epoch_before  # no order is made in a minority
     for lease in leases:
         lease.holder_name = ""
     tick_and_deliver(nodes, 60_000.0)
@@ -67,23 +68,24 @@
         assert node.event_counts["forgotten"] == 1
 
 
-def test_without_a_coordinator_a_command_is_refused() -> None:
+def test_command_is_refused_without_a_coordinator() -> None:
     nodes, _ = make_nodes()
     assert nodes[0].submit_command(0.0, 1, "hub:a", OperatorCommand.OUT, 7) == []
     assert nodes[0].command_response(1) == OperatorResponse(region_id("hub:a"), CommandOutcome.NOT_COORDINATOR, 1)
 
 
-def test_operators_commands_are_done_once_or_refused_with_a_reason() -> None:
+def test_operators_command_is_done_once_or_refused_with_a_reason() -> None:
     nodes, leases = make_nodes()
     grant_lease(leases, "d0", 10)
     for k in range(4):
         tick_and_deliver(nodes, 250.0 * k)
 
     def outcome(number: int, region: str, command: OperatorCommand, operator: int) -> CommandOutcome:
+        """Submit the command at d1, deliver all messages and return the outcome."""
         now_ms = 1000.0 * number
         [(to, request)] = nodes[1].submit_command(now_ms, number, region, command, operator)
         [(_, response)] = nodes[0].receive(now_ms, "d1", request)
-        # Retry while an order of the coordinator's own is not acknowledged yet.
+        # Retry while the coordinator's last order is not acknowledged yet.
         while isinstance(response, OperatorResponse) and response.outcome is CommandOutcome.BUSY:
             now_ms += 50.0
             tick_and_deliver(nodes, now_ms)
@@ -103,17 +105,17 @@
     assert outcome(6, "hub:a", OperatorCommand.FREE, 7) is CommandOutcome.DONE
     assert not nodes[2].applied_order.table()["hub:a"].has_operator_hold
     assert outcome(7, "hub:a", OperatorCommand.RETURN, 8) is CommandOutcome.DONE
-    assert outcome(7, "hub:a", OperatorCommand.RETURN, 8) is CommandOutcome.DONE  # a repeat
+    assert outcome(7, "hub:a", OperatorCommand.RETURN, 8) is CommandOutcome.DONE  # a repeated request
 
 
 @given(st.binary(max_size=260))
-def test_any_bytes_are_a_message_or_an_error(data: bytes) -> None:
+def test_decoding_any_bytes_returns_a_message_or_raises_codec_error(data: bytes) -> None:
     for tag in (b"", b"r", b"o", b"a", b"s"):
         with contextlib.suppress(CodecError):
             decode_region_message(tag + data)
 
 
-def test_messages_survive_their_codec_and_fit_a_datagram() -> None:
+def test_encoded_messages_decode_to_themselves_and_fit_into_a_datagram() -> None:
     statistics = {n: RegionStatistics(12.5, 3.0, 0.5, 9.0) for n in range(MAX_REPORT_REGIONS)}
     statuses = {n: RegionStatus(RegionState(n % 4), n % 5, n % 7, n % 2 == 0) for n in range(MAX_ORDER_REGIONS)}
     for message in (
@@ -127,8 +129,8 @@
         assert len(encode(Message("region", "d511", 0, body=data), "caroni-feeds")) <= MOST_BYTES
 
 
-def test_the_binary_form_of_messages_is_stable() -> None:
-    """Members of another version read these bytes."""
+def test_binary_form_of_messages_is_stable() -> None:
+    """The binary form may not change, because members of other versions read these bytes."""
     report = RegionReport(1, 2, 3, 4, True, False, {5: RegionStatistics(1.0, 0.5, 0.5, 2.0)})
     assert encode_region_message(report).hex() == (
         "72000000000000000100000002000000000000000300000004" + "0101" + "00000005001000086414"
--- a/tests/test_region_part.py
+++ b/tests/test_region_part.py
@@ -1,4 +1,4 @@
-"""Regions in the settings, in the router, in a proxy and on the command line."""
+"""Tests of regions in the settings, in the router, in a proxy and on the command line."""
 
 from __future__ import annotations
 
@@ -42,15 +42,15 @@
         ("most_out = 1.5", "[leases]\nenabled = true\n", "most_out"),
     ],
 )
-def test_wrong_settings_are_refused_by_key(tmp_path: Path, regions: str, leases: str, key: str) -> None:
+def test_settings_error_names_the_wrong_key(tmp_path: Path, regions: str, leases: str, key: str) -> None:
     path = tmp_path / "fleet.toml"
     config = Config("d0", Address("127.0.0.1", 1), 1, SETTINGS)
 
     def read(text: str, lease: str) -> Any:
         path.write_text(f'enabled = true\npeers = ["127.0.0.1:7000"]\n{lease}[regions]\nenabled = true\n{text}\n')
-        found = read_fleet(path, config)
-        assert found is not None
-        return read_regions(found, read_leases(found))
+        fleet = read_fleet(path, config)
+        assert fleet is not None
+        return read_regions(fleet, read_leases(fleet))
 
     with pytest.raises(ConfigError, match=key) as error:
         read(regions, leases)
@@ -58,41 +58,43 @@
     assert read("most_out = 0.3", "[leases]\nenabled = true\n").tuning.max_out_fraction == 0.3
 
 
-def test_routers_leave_and_return_by_the_same_order_of_objects() -> None:
+def test_routers_leave_and_return_in_the_same_order_of_objects() -> None:
     stages = [Stage(), Stage()]
 
     def sources(fraction: float | None) -> list[str]:
-        found = []
+        """Return the sources of 60 objects, the same at all routers, with ``fraction`` routed to the first parent."""
+        sources_by_router = []
         for stage in stages:
             if fraction is not None:
                 stage.give(i.RegionShares({PARENTS[0]: fraction}))
             requests = [i.Request(f"{fraction}-{n}", "big", f"o{n}", time_left=6.0) for n in range(60)]
             actions = [action for request in requests for action in stage.give(request)]
-            found.append([action.source for action in actions if isinstance(action, i.Attempt)])
-        assert found[0] == found[1]  # alike at every proxy
-        return found[0]
+            sources_by_router.append([action.source for action in actions if isinstance(action, i.Attempt)])
+        assert sources_by_router[0] == sources_by_router[1]  # the same at every proxy
+        return sources_by_router[0]
 
-    everywhere = sources(None)
+    unrestricted = sources(None)
     assert PARENTS[0] not in sources(0.0)
     assert ORIGIN not in sources(0.0)
     half = sources(0.5)
-    back = {n for n, source in enumerate(half) if source == PARENTS[0]}
-    assert 5 < len(back) < everywhere.count(PARENTS[0])
-    assert all(everywhere[n] == PARENTS[0] for n in back)
+    returned = {n for n, source in enumerate(half) if source == PARENTS[0]}
+    assert 5 < len(returned) < unrestricted.count(PARENTS[0])
+    assert all(unrestricted[n] == PARENTS[0] for n in returned)
     quarter = {n for n, source in enumerate(sources(0.25)) if source == PARENTS[0]}
-    assert quarter < back  # a step keeps the objects of the one before
+    assert quarter < returned  # each step keeps the objects of the step before
     stage = stages[0]
     stage.give(i.RegionShares({PARENTS[0]: 0.0}))
     stage.router.endpoints.backends[PARENTS[0]].ejected = True
     stage.give(i.RegionShares({PARENTS[0]: 0.0625}))
-    assert not stage.router.endpoints.backends[PARENTS[0]].ejected  # the router's own ejection ends with the fleet's
-    for one in stages:
-        one.give(i.RegionShares({}))
-    assert sources(None) == everywhere
+    # The router's own ejection ends when the region returns.
+    assert not stage.router.endpoints.backends[PARENTS[0]].ejected
+    for each_stage in stages:
+        each_stage.give(i.RegionShares({}))
+    assert sources(None) == unrestricted
 
 
 def attach_part(stand: Stand, node: RegionNode) -> RegionPart:
-    """A region part that observes the attempts of the stand's engine."""
+    """Return a region part that observes the attempts of the stand's engine."""
     part = RegionPart(node, stand.settings, stand.clock, stand.counters, stand.engine.post)
     stand.engine.services.observer = part
     part.follow(stand.engine._endpoints.backends.values())
@@ -100,13 +102,13 @@
 
 
 def order_datagram(epoch: int, status: RegionStatus) -> Message:
-    """An order of the coordinator ``d1`` for the station's caches."""
+    """Return a datagram with an order of the coordinator ``d1`` for the station's caches."""
     order = CoordinatorOrder(5, epoch, {region_id("cache:edge-1"): status})
     return Message("region", "d1", 0, body=encode_region_message(order))
 
 
 @run
-async def test_a_proxy_limits_the_age_of_copies_from_a_region_that_has_returned() -> None:
+async def test_proxy_limits_the_age_of_copies_from_a_returned_region() -> None:
     backends = (
         StandBackend("a"),
         StandBackend("b"),
@@ -141,7 +143,7 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "source", "note", "blamed"),
+    ("result", "source", "note", "failed_regions"),
     [
         ("connect_failed", "hub", "", {"cache:edge-1"}),
         ("reset", "hub", "", {"cache:edge-1"}),
@@ -153,8 +155,8 @@
         ("full", "hub", "", set()),
     ],
 )
-def test_a_failed_attempt_is_the_fault_of_backend_or_source(
-    result: Result, source: str, note: str, blamed: set[str]
+def test_failed_attempt_counts_against_the_backend_or_the_source(
+    result: Result, source: str, note: str, failed_regions: set[str]
 ) -> None:
     nodes, _ = make_nodes(1)
     clock = ManualClock()
@@ -175,12 +177,12 @@
         AttemptResult(result, note),
         50.0,
     )
-    seen = nodes[0].evidence.statistics(clock.steady_ms())
-    assert {name for name, s in seen.items() if s.failures} == blamed
+    statistics = nodes[0].evidence.statistics(clock.steady_ms())
+    assert {name for name, region in statistics.items() if region.failures} == failed_regions
 
 
 @run
-async def test_an_operators_call_gets_a_response_and_wrong_parameters_are_refused() -> None:
+async def test_operators_call_gets_a_response_and_wrong_parameters_are_refused() -> None:
     async with Stand(StandBackend("a", HANG), StandBackend("hub", kind="parent", zone="north")) as stand:
         nodes, leases = make_nodes(1)
         grant_lease(leases, "d0", 9)
@@ -201,7 +203,10 @@
 
 @contextlib.contextmanager
 def serve_operators_port(port: int, page: Mapping[str, Any], received: list[str]) -> Iterator[None]:
-    """An operators' port in a thread: serves ``page`` and records commands, of which it does only "out"."""
+    """Serve an operators' port in a thread, with ``page`` as the page ``/regions``.
+
+    It appends each command to ``received``, accepts the command "out" and refuses all others.
+    """
     ready = threading.Event()
     stop = threading.Event()
 
@@ -235,8 +240,11 @@
         thread.join()
 
 
-def test_the_command_line_uses_any_instance_that_responds(tmp_path: Path, capsys: Any) -> None:
-    """Through a store with one instance that is dead and one whose operators' port responds."""
+def test_command_line_uses_any_instance_that_responds(tmp_path: Path, capsys: Any) -> None:
+    """Use a store with three instances.
+
+    One is dead, one has an operators' port that responds, and one has no operators' address.
+    """
     page = {
         "steward": "d1",
         "token": 9,
@@ -244,9 +252,9 @@
         "regions": {"hub:a": {"state": "out", "held": True, "share": 0.0, "depots": 2, "bad": 1.0, "tried": 3.0}},
     }
     received: list[str] = []
-    port, dead = free_port(), free_port()
+    port, dead_port = free_port(), free_port()
     url = f"sqlite:///{tmp_path / 's.db'}"
-    for name, ops in (("dead", f"127.0.0.1:{dead}"), ("n1", f"127.0.0.1:{port}"), ("odd", "")):
+    for name, ops in (("dead", f"127.0.0.1:{dead_port}"), ("n1", f"127.0.0.1:{port}"), ("odd", "")):
         config = tmp_path / f"{name}.json"
         config.write_text(f'{{"ops": "{ops}"}}')
         assert main(["--store", url, "instance", "add", name, "--config", str(config)]) == 0
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""The coordinator's decisions on regions, piece by piece and in virtual time."""
+"""Tests of the coordinator's decisions on regions, one by one and in virtual time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 # In virtual time ---------------------------------------------------------------------------------------------------
 
 
-def test_no_seed_finds_a_violation() -> None:
+def test_region_trials_find_no_violation() -> None:
     outcomes = [run_trial(seed) for seed in range(60)]
     assert [(seed, outcome.violations) for seed, outcome in enumerate(outcomes) if outcome.violations] == []
     assert sum(outcome.max_away > 0 for outcome in outcomes) > 20
@@ -32,12 +32,12 @@
 
 
 @pytest.mark.parametrize("fault", sorted(registered("regions")))
-def test_an_injected_fault_is_found(fault: str) -> None:
+def test_region_trials_find_each_injected_fault(fault: str) -> None:
     seeds = [785, 1497, 1573] if fault == "no-region-guard" else range(200)
     assert any(run_trial(seed, fault).violations for seed in seeds)
 
 
-def test_a_seed_replays_exactly() -> None:
+def test_region_trial_replays_exactly_from_its_seed() -> None:
     def events(seed: int) -> list[Any]:
         fleet = RegionFleet(seed)
         fleet.keep = True
@@ -53,36 +53,41 @@
 def make_reports(
     bad: int = 0, good: int = 5, region: str = "hub:a", others: RegionStatistics = GOOD_STATISTICS
 ) -> ReportedStatistics:
-    """``bad`` proxies for which ``region`` fails, ``good`` for which it does not; other hubs are as ``others``."""
+    """Return the statistics of ``bad`` proxies for which ``region`` fails and of ``good`` for which it does not.
+
+    All of them report ``others`` for the other hubs.
+    """
     rest = {name: others for name in BACKEND_COUNTS if name.startswith("hub") and name != region}
     return {f"d{n}": {region: BAD_STATISTICS if n < bad else GOOD_STATISTICS, **rest} for n in range(bad + good)}
 
 
 @pytest.mark.parametrize(
-    ("reports", "leaves"),
+    ("reports", "is_left"),
     [
         (make_reports(4), True),
         (make_reports(2), True),
         (make_reports(1), False),
         (make_reports(0), False),
-        (make_reports(4, others=BAD_STATISTICS), False),  # all alike: the fault lies behind them
+        (make_reports(4, others=BAD_STATISTICS), False),  # all hubs fail alike, so the fault lies behind them
         ({"d0": {"hub:a": BAD_STATISTICS}}, False),
         ({"d0": {"hub:a": BAD_STATISTICS}, "d1": {"hub:a": RegionStatistics(9, 1, 0, 1.0)}}, False),
     ],
 )
-def test_a_region_is_left_if_several_proxies_have_met_failures(reports: ReportedStatistics, leaves: bool) -> None:
+def test_coordinator_leaves_a_region_if_several_proxies_report_failures(
+    reports: ReportedStatistics, is_left: bool
+) -> None:
     changes = RegionCoordinator(TUNING, {}, 0.0).decide_changes(1000.0, BACKEND_COUNTS, reports)
-    assert (changes.get("hub:a", RegionStatus()).state is RegionState.LEAVING) is leaves
+    assert (changes.get("hub:a", RegionStatus()).state is RegionState.LEAVING) is is_left
 
 
-def test_no_proxy_counts_for_more_than_all_others_together() -> None:
+def test_pooled_score_counts_no_proxy_for_more_than_all_others_together() -> None:
     one = pooled_score("hub:a", make_reports(1))
     two = pooled_score("hub:a", make_reports(2))
     assert one.value < two.value / 2
     assert pooled_score("hub:a", {}) == PooledScore(0.0, 0)
 
 
-def test_guards_prevent_leaving_a_second_hub_and_the_last_one() -> None:
+def test_limits_prevent_leaving_a_second_hub_and_the_last_hub() -> None:
     coordinator = RegionCoordinator(TUNING, {}, 0.0)
     coordinator.apply_changes(0.0, {"hub:a": OUT_STATUS})
     reports = {
@@ -96,10 +101,10 @@
     assert not is_within_limits({name: RegionStatus(RegionState.OUT) for name in BACKEND_COUNTS}, BACKEND_COUNTS, 1.0)
 
 
-def test_the_change_log_takes_back_or_forgets_a_region_that_is_out() -> None:
+def test_change_log_puts_back_or_removes_a_region_that_is_out() -> None:
     coordinator = RegionCoordinator(TUNING, {}, 0.0)
     coordinator.apply_changes(0.0, {"hub:a": OUT_STATUS})
-    # One of the three hubs is drained: too few are left while hub:a is out.
+    # One of the three hubs is drained, so too few would be in service while hub:a is out.
     assert coordinator.decide_changes(20.0, {"hub:a": 2, "hub:b": 1}, {})["hub:a"].state is RegionState.IN
     # hub:a itself is removed.
     assert coordinator.decide_changes(20.0, {"hub:b": 1, "hub:c": 1}, {})["hub:a"] == RegionStatus()
@@ -109,56 +114,58 @@
 
 
 class Recovery:
-    """A coordinator whose region ``hub:a`` is out, and a clock that moves on with each decision."""
+    """A coordinator with one region ``hub:a`` and a clock that advances with each decision."""
 
     def __init__(self, status: RegionStatus) -> None:
+        """Start at time 0 with ``status`` for the region."""
         self.coordinator = RegionCoordinator(TUNING, {"hub:a": status}, 0.0)
         self.now_ms = 0.0
 
     def status_after(
         self, elapsed_ms: float, reports: ReportedStatistics, strained_regions: frozenset[str] = frozenset()
     ) -> RegionStatus:
-        """The region's status once ``elapsed_ms`` have passed and the coordinator has decided."""
+        """Advance the clock by ``elapsed_ms``, let the coordinator decide and return the region's status."""
         self.now_ms += elapsed_ms
         changes = self.coordinator.decide_changes(self.now_ms, BACKEND_COUNTS, reports, strained_regions)
         self.coordinator.apply_changes(self.now_ms, changes)
         return changes.get("hub:a", self.coordinator.table["hub:a"])
 
     def set_status(self, status: RegionStatus) -> None:
+        """Give the region ``status`` now."""
         self.coordinator.apply_changes(self.now_ms, {"hub:a": status})
 
 
-def test_a_return_goes_by_steps_that_strain_prolongs_and_failures_take_back() -> None:
+def test_return_follows_steps_that_strain_prolongs_and_failures_take_back() -> None:
     recovery = Recovery(RegionStatus(RegionState.OUT, 0, 2))
-    sound = make_reports(0)
+    healthy = make_reports(0)
     failing = make_reports(3)
     # The second wait is twice the first.
-    assert recovery.status_after(1900, sound).state is RegionState.OUT
-    assert recovery.status_after(101, sound) == RegionStatus(RegionState.RETURNING, 0, 2)
-    assert recovery.status_after(101, sound).step == 1
-    assert recovery.status_after(50, sound).step == 1
-    assert recovery.status_after(51, sound).step == 2
-    # Strain, nearly full links, and some failures each prolong a step.
-    assert recovery.status_after(101, sound, frozenset({"hub:a"})).step == 2
+    assert recovery.status_after(1900, healthy).state is RegionState.OUT
+    assert recovery.status_after(101, healthy) == RegionStatus(RegionState.RETURNING, 0, 2)
+    assert recovery.status_after(101, healthy).step == 1
+    assert recovery.status_after(50, healthy).step == 1
+    assert recovery.status_after(51, healthy).step == 2
+    # Strain, nearly full links and some failures each prolong a step.
+    assert recovery.status_after(101, healthy, frozenset({"hub:a"})).step == 2
     assert recovery.status_after(101, {"d0": {"hub:a": RegionStatistics(10, 0, 0.95, 0)}}).step == 2
     some = {name: {"hub:a": RegionStatistics(10, 3, 0.1, 8.0)} for name in ("d0", "d1")}
     assert recovery.status_after(101, some).step == 2
-    # More failures take back a step, and the second time in a row they end the return with twice the wait.
+    # More failures take the return back a step; the second time in a row they end it and double the wait.
     assert recovery.status_after(101, failing).step == 1
     assert recovery.status_after(101, failing) == RegionStatus(RegionState.LEAVING, 0, 3)
-    assert recovery.status_after(1, sound).state is RegionState.OUT
-    assert recovery.status_after(3999, sound).state is RegionState.OUT
-    recovery.status_after(2, sound)
+    assert recovery.status_after(1, healthy).state is RegionState.OUT
+    assert recovery.status_after(3999, healthy).state is RegionState.OUT
+    recovery.status_after(2, healthy)
     for _ in RECOVERY_FRACTIONS:
-        recovery.status_after(101, sound)
+        recovery.status_after(101, healthy)
     assert recovery.coordinator.table["hub:a"] == RegionStatus(RegionState.IN, 0, 3)
-    # A failure soon after doubles the wait again; after a long time without one the backoff is reset.
+    # A failure soon after the return doubles the wait again; after a long time without one the backoff is reset.
     assert recovery.status_after(4000, failing) == RegionStatus(RegionState.LEAVING, 0, 4)
     recovery.set_status(RegionStatus(RegionState.IN, 0, 4))
-    assert recovery.status_after(5001, sound) == RegionStatus()
+    assert recovery.status_after(5001, healthy) == RegionStatus()
 
 
-def test_a_region_that_an_operator_holds_stays_out() -> None:
+def test_region_with_an_operator_hold_stays_out() -> None:
     recovery = Recovery(RegionStatus())
     recovery.set_status(RegionStatus(RegionState.OUT, 0, 1, has_operator_hold=True))
     assert recovery.status_after(9999, make_reports(0)).state is RegionState.OUT
