--- a/beechslip/regions/coordinator.py
+++ b/beechslip/regions/coordinator.py
@@ -65,8 +65,8 @@
         """Continue from ``table``, the newest that a majority knows. All waits start again at ``now_ms``."""
         self.tuning = tuning
         self.table = dict(table)
-        self._state_since_ms = dict.fromkeys(table, now_ms)
-        self._step_failures: dict[str, int] = {}
+        self._state_since_ms = dict.fromkeys(table, now_ms)  # start of the current state or step, by region
+        self._step_failures: dict[str, int] = {}  # failed steps in a row, by region
 
     def decide_changes(
         self,
--- a/beechslip/regions/messages.py
+++ b/beechslip/regions/messages.py
@@ -126,7 +126,7 @@
 
 
 def encode_region_message(message: RegionMessage) -> bytes:
-    """Return the binary form of ``message``. Values above the range of their field are clamped to it."""
+    """Return the binary form of ``message``. Statistics above the range of their field are clamped to it."""
     if isinstance(message, RegionReport):
         return _encode_report(message)
     if isinstance(message, CoordinatorOrder):
@@ -171,6 +171,7 @@
 
 
 def _clamped_count(count: float) -> int:
+    """Return ``count`` in units of a sixteenth, clamped to 16 bits."""
     return min(round(count * ATTEMPTS_SCALE), 0xFFFF)
 
 
@@ -187,7 +188,7 @@
     _, incarnation, seq, token, epoch, flags, count = _REPORT_HEADER.unpack_from(data)
     entries = data[_REPORT_HEADER.size :]
     if count > MAX_REPORT_REGIONS or len(entries) != count * _STATISTICS_ENTRY.size:
-        raise ValueError(f"report with {count} entries does not fit its {len(entries)} bytes")
+        raise ValueError(f"report has {count} entries but {len(entries)} bytes")
     statistics = {
         region: RegionStatistics(
             attempts / ATTEMPTS_SCALE,
@@ -206,7 +207,7 @@
     _, token, epoch, count = _ORDER_HEADER.unpack_from(data)
     entries = data[_ORDER_HEADER.size :]
     if count > MAX_ORDER_REGIONS or len(entries) != count * (_STATUS_ENTRY.size + 1):
-        raise ValueError(f"order with {count} entries does not fit its {len(entries)} bytes")
+        raise ValueError(f"order has {count} entries but {len(entries)} bytes")
     packed_size = count * _STATUS_ENTRY.size
     packed = _STATUS_ENTRY.iter_unpack(entries[:packed_size])
     holds = entries[packed_size:]
--- a/beechslip/regions/node.py
+++ b/beechslip/regions/node.py
@@ -76,7 +76,7 @@
         self.timing = timing or RegionTiming()
         self.evidence = FailureEvidence()
         self.backend_counts: dict[str, int] = {}  # backends in service, by listed region
-        self.strained_regions: frozenset[str] = frozenset()
+        self.strained_regions: frozenset[str] = frozenset()  # their step is prolonged while this is the coordinator
         self.applied_order = AppliedOrder(started_ms)
         self.event_counts: dict[str, int] = {}
         self._leases = leases
@@ -207,10 +207,12 @@
         if self._coordinator is None and self._knows_newest_order(reports):
             self._coordinator = RegionCoordinator(self.tuning, self.applied_order.table(), now_ms)
         if self._coordinator is not None and self._is_acknowledged_by_majority(reports):
-            usable = self._usable_statistics(reports)
-            # Without a majority most members have a fault of their own, and no region is at fault.
-            if self._is_majority(len(usable)):
-                changes = self._coordinator.decide_changes(now_ms, self.backend_counts, usable, self.strained_regions)
+            usable_statistics = self._usable_statistics(reports)
+            # Without such a majority most members have a fault of their own, and no region is at fault.
+            if self._is_majority(len(usable_statistics)):
+                changes = self._coordinator.decide_changes(
+                    now_ms, self.backend_counts, usable_statistics, self.strained_regions
+                )
                 if changes or token != self.applied_order.token:
                     self._make_order(now_ms, changes)
         return self._repeat_order(reports)
--- a/beechslip/regions/node_types.py
+++ b/beechslip/regions/node_types.py
@@ -1,4 +1,4 @@
-"""The types around a region node: its view of the leases, its timing, its messages and its history events."""
+"""The types that a region node shares with its caller: leases, timing, messages to send and history events."""
 
 from __future__ import annotations
 
--- a/beechslip/regions/report_log.py
+++ b/beechslip/regions/report_log.py
@@ -40,7 +40,7 @@
         self._reports[sender] = _ReceivedReport(now_ms, report)
 
     def clear(self) -> None:
-        """Forget all reports."""
+        """Remove all reports."""
         self._reports.clear()
 
     def unexpired_reports(self, now_ms: float, members: Collection[str], expiry_ms: float) -> dict[str, RegionReport]:
--- a/beechslip/regions/status.py
+++ b/beechslip/regions/status.py
@@ -23,10 +23,10 @@
 class RegionState(IntEnum):
     """The state of a region for the whole fleet. The values are written to datagrams and to the history."""
 
-    IN = 0
-    LEAVING = 1
-    OUT = 2
-    RETURNING = 3
+    IN = 0  # gets all of its traffic
+    LEAVING = 1  # gets no traffic; the coordinator's next order makes it OUT
+    OUT = 2  # gets no traffic
+    RETURNING = 3  # gets the traffic of its step of the recovery ramp
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_region_part.py
+++ b/tests/test_region_part.py
@@ -177,8 +177,8 @@
         AttemptResult(result, note),
         50.0,
     )
-    statistics = nodes[0].evidence.statistics(clock.steady_ms())
-    assert {name for name, region in statistics.items() if region.failures} == failed_regions
+    statistics_by_region = nodes[0].evidence.statistics(clock.steady_ms())
+    assert {name for name, region in statistics_by_region.items() if region.failures} == failed_regions
 
 
 @run
