--- a/beechslip/agent/leases.py
+++ b/beechslip/agent/leases.py
@@ -73,7 +73,7 @@
 
     def fence(self, name: str) -> Fence | None:
         """The fence to write under, if the lease is held for long enough to act."""
-        token = self._leases.held(name, self._clock())
+        token = self._leases.held_token(name, self._clock())
         return Fence(name, self._leases.holder, token) if token is not None else None
 
     def other_holder(self, name: str) -> str:
--- a/beechslip/budgets/leader.py
+++ b/beechslip/budgets/leader.py
@@ -18,11 +18,11 @@
 class LeaseView(Protocol):
     """What is needed of the leases: :class:`beechslip.leases.node.LeaseNode`."""
 
-    def held(self, name: str, now_ms: float) -> int | None:
+    def held_token(self, name: str, now_ms: float) -> int | None:
         """The token of lease ``name`` while this proxy holds it, else ``None``."""
         ...
 
-    def ballot(self, name: str, now_ms: float) -> tuple[str, int]:
+    def holder_and_round(self, name: str, now_ms: float) -> tuple[str, int]:
         """The holder of lease ``name`` as this proxy's acceptor knows it ("": none), and its ballot's round."""
         ...
 
@@ -62,7 +62,7 @@
 
     def token(self, now_ms: float) -> int | None:
         """The token while this proxy holds the lease; every earlier leader's last check was before the tenure."""
-        token = self._leases.held(LEASE, now_ms)
+        token = self._leases.held_token(LEASE, now_ms)
         if token is not None and token != self._tenure.token:
             self._tenure = _Tenure(token, now_ms)
         return token
--- a/beechslip/budgets/node.py
+++ b/beechslip/budgets/node.py
@@ -183,7 +183,7 @@
         self._next_request_ms = now_ms + shortest_grant_ms / REQUESTS_PER_GRANT
         self._request_rounds += 1
         self._update_quotas(now_ms)
-        leader, ballot_round = self._leases.ballot(LEASE, now_ms)
+        leader, ballot_round = self._leases.holder_and_round(LEASE, now_ms)
         self.leader_name = leader
         entries = self._request_entries(now_ms)
         if not leader:
--- a/beechslip/budgets/part.py
+++ b/beechslip/budgets/part.py
@@ -21,7 +21,7 @@
 from beechslip.core.model import AttemptRequest, AttemptResult, Backend
 from beechslip.counters import Counters
 from beechslip.fleet.codec import CodecError
-from beechslip.fleet.messages import Message, Send
+from beechslip.fleet.messages import OutgoingDatagram, PeerMessage
 from beechslip.routing import interface as i
 from beechslip.routing.interface import Settings
 
@@ -74,7 +74,7 @@
 
     # A part behind the socket ------------------------------------------------------------------------------
 
-    def tick(self, now_ms: float) -> list[Send]:
+    def tick(self, now_ms: float) -> list[OutgoingDatagram]:
         """The requests that are due. Goes by the limits of now, posts the quotas and takes over the counts."""
         if now_ms - self._posted_ms >= POST_INTERVAL_MS:
             self._posted_ms = now_ms
@@ -88,7 +88,7 @@
                 self._counted[name] = count
         return sends
 
-    def receive(self, now_ms: float, message: Message) -> list[Send]:
+    def receive(self, now_ms: float, message: PeerMessage) -> list[OutgoingDatagram]:
         """What a member's message is answered; one that can't be read is counted."""
         try:
             decoded = decode_budget(message.body)
@@ -97,7 +97,7 @@
             return []
         return self._sends(self.node.receive(now_ms, message.sender, decoded))
 
-    def stop(self, now_ms: float) -> list[Send]:
+    def stop(self, now_ms: float) -> list[OutgoingDatagram]:
         """Nothing: the grants end by themselves."""
         return []
 
@@ -112,8 +112,11 @@
         """The answer to ``GET /budgets``."""
         return self.node.state(self._clock.steady_ms())
 
-    def _sends(self, out: Outgoing) -> list[Send]:
-        return [Send(to, Message("budget", self.node.me, 0, body=encode_budget(message))) for to, message in out]
+    def _sends(self, out: Outgoing) -> list[OutgoingDatagram]:
+        return [
+            OutgoingDatagram(to, PeerMessage("budget", self.node.me, 0, body=encode_budget(message)))
+            for to, message in out
+        ]
 
     # What it goes by ---------------------------------------------------------------------------------------
 
--- a/beechslip/budgets/settings.py
+++ b/beechslip/budgets/settings.py
@@ -8,7 +8,7 @@
 
 from beechslip.budgets.limit import FleetLimit
 from beechslip.config import ConfigError
-from beechslip.fleet.settings import FleetConfig, Table
+from beechslip.fleet.settings import FleetConfig, SettingsTable
 from beechslip.leases.settings import LeasesConfig
 
 Role = Literal["origin", "hub", "cache"]
@@ -29,7 +29,7 @@
 KEYS = ("enabled", "grant_ms", "floor_share", "travel_ms", "mean_ms", "fill_ms", *AMOUNTS)
 RATES = (("retries_per_s", "retry_burst"), ("probes_per_s", "probe_burst"))  # each with its burst
 MAX_AMOUNT = 1e9
-BELOW_ZERO = -1e-9  # the bound of :meth:`Table.number` is exclusive: 0 is allowed
+BELOW_ZERO = -1e-9  # the bound of :meth:`SettingsTable.number` is exclusive: 0 is allowed
 MIN_TICKS_PER_GRANT = 8
 
 
@@ -67,21 +67,21 @@
 
 def read_budgets(fleet: FleetConfig, leases: LeasesConfig | None) -> BudgetsConfig | None:
     """The table's settings, ``None`` if it is not ``enabled``; ConfigError by name."""
-    table = Table(f"{fleet.file}: budgets", fleet.tables["budgets"], KEYS)
-    if not table.flag("enabled"):
+    table = SettingsTable(f"{fleet.file}: budgets", fleet.tables["budgets"], KEYS)
+    if not table.boolean("enabled"):
         return None
     if leases is None:
-        raise table.fail("enabled", "is true, but the table leases is off: who divides the pools holds a lease")
+        raise table.make_error("enabled", "is true, but the table leases is off: who divides the pools holds a lease")
     amounts = {key: table.number(key, 0.0, least=BELOW_ZERO, most=MAX_AMOUNT) for key in AMOUNTS}
     for rate, burst in RATES:
         if amounts[rate] and not amounts[burst]:
             amounts[burst] = amounts[rate]
     floor_share = table.number("floor_share", 1.0)
     if floor_share > 1.0:
-        raise table.fail("floor_share", f"is {floor_share:g}: the floors would sum to that much of each limit")
+        raise table.make_error("floor_share", f"is {floor_share:g}: the floors would sum to that much of each limit")
     grant_ms = table.number("grant_ms", 2000.0)
     if grant_ms < MIN_TICKS_PER_GRANT * fleet.tick_ms:
-        raise table.fail(
+        raise table.make_error(
             "grant_ms",
             f"is {grant_ms:g}, under {MIN_TICKS_PER_GRANT} times tick_ms {fleet.tick_ms:g}: a grant could not "
             "be requested again in time",
--- a/beechslip/duties/node.py
+++ b/beechslip/duties/node.py
@@ -8,7 +8,7 @@
   it are suspect in its view, ``doubt_ms`` after it is due: long enough to hear of one that does it after all. A
   suspect keeps its rank but takes no standby's place, so that however many die together there are standbys who live;
   those past the ``k`` first, whom no report is sent to, step in after ``interval_ms + k * takeover_ms`` of silence.
-- **Reports.** Every duty done becomes a :class:`Report`, piggybacked on membership messages ``report_copies``
+- **Reports.** Every duty done becomes a :class:`DutyReport`, piggybacked on membership messages ``report_copies``
   times (:mod:`.reports`). Any report of a duty, from anyone, resets its due time here.
 - **Leases against double owners.** Two members may both take themselves for owner while their views differ (a
   pause, a partition, lost messages). When one hears the other's owner report, the higher rendezvous weight
@@ -34,7 +34,7 @@
 from beechslip.duties.token_bucket import TokenBucket
 from beechslip.duties.tuning import DutyTuning
 from beechslip.fleet.membership import Membership
-from beechslip.fleet.messages import REPORT, Message, Report, Send, State
+from beechslip.fleet.messages import REPORT, DutyReport, MemberState, OutgoingDatagram, PeerMessage
 
 NEVER_MS = -1e18  # a duty that was never heard of is long overdue
 NOT_DUE = -1.0
@@ -60,15 +60,15 @@
 class DutyTick(NamedTuple):
     """What is due: messages to send, and the duties to start now."""
 
-    sends: list[Send]
+    sends: list[OutgoingDatagram]
     start: list[str]
 
 
 class DutyReceipt(NamedTuple):
     """What follows from a message: answers to send, and the reports that were new."""
 
-    sends: list[Send]
-    fresh: list[Report]
+    sends: list[OutgoingDatagram]
+    fresh: list[DutyReport]
 
 
 @dataclass
@@ -85,7 +85,7 @@
         tuning = self.tuning
         self.me = self.membership.me
         self.last_done_ms: dict[str, float] = {}  # by duty: when it was last done by anyone, as far as we know
-        self.latest_reports: dict[str, Report] = {}  # by duty
+        self.latest_reports: dict[str, DutyReport] = {}  # by duty
         self.leases: dict[str, _Lease] = {}
         self.running: set[str] = set()
         self.counts: dict[str, int] = {}
@@ -95,7 +95,7 @@
         self._synced_version = -1  # the membership's version that ``_places`` follows from
         self._places: dict[str, _Place] = {}  # by duty that this member is owner or standby of
         self._jitter_ms: dict[str, float] = {}
-        self._outbox: list[Send] = []  # reports for standbys, sent with the next tick
+        self._outbox: list[OutgoingDatagram] = []  # reports for standbys, sent with the next tick
         self.set_duties(self.duties)
 
     # The list of duties ------------------------------------------------------------------------------------
@@ -127,10 +127,10 @@
         return sorted(duty for duty, place in self._places.items() if place.rank == 0)
 
     def _alive(self, name: str) -> bool:
-        return self.membership.state_of(name) is not State.DEAD
+        return self.membership.state_of(name) is not MemberState.DEAD
 
     def _sure(self, name: str) -> bool:
-        return self.membership.state_of(name) is State.ALIVE
+        return self.membership.state_of(name) is MemberState.ALIVE
 
     def _ranked(self, duty: str) -> tuple[str, ...]:
         return self._assignment.ranked(duty, self._alive, self._sure)
@@ -138,9 +138,9 @@
     def _sync(self) -> None:
         """Follow the membership's view, if it has changed."""
         membership = self.membership
-        if membership.version == self._synced_version:
+        if membership.view_version == self._synced_version:
             return
-        self._synced_version = membership.version
+        self._synced_version = membership.view_version
         known = set(membership.members) | {self.me}
         for name in known - self._assignment.members:
             self._assignment.add(name)
@@ -175,27 +175,27 @@
         self.running.discard(duty)
         if duty not in self._listed:
             return
-        report = Report(duty, self.me, now_ms, ok, self.rank(duty) == 0)
+        report = DutyReport(duty, self.me, now_ms, ok, self.rank(duty) == 0)
         self.last_done_ms[duty] = max(self.last_done_ms.get(duty, now_ms), now_ms)
         self.latest_reports[duty] = report
         self._reports.add(report)
         if duty in self._places:
             self._report_to_standbys(report)
 
-    def _report_to_standbys(self, report: Report) -> None:
+    def _report_to_standbys(self, report: DutyReport) -> None:
         """Straight to the standbys, which must not step in for a duty that was done; gossip is for the rest."""
-        message = Message(REPORT, self.me, 0, reports=(report,))
+        message = PeerMessage(REPORT, self.me, 0, reports=(report,))
         for standby in self._ranked(report.duty):
             if standby != self.me:  # more than once: a lost report costs a duplicate health check
-                self._outbox += [Send(standby, message)] * self.tuning.report_sends
+                self._outbox += [OutgoingDatagram(standby, message)] * self.tuning.report_sends
 
     # Messages -----------------------------------------------------------------------------------------------
 
-    def receive(self, now_ms: float, message: Message) -> DutyReceipt:
+    def receive(self, now_ms: float, message: PeerMessage) -> DutyReceipt:
         """Handle a message: membership first, then its reports; answers to send, and the reports new here
         (for the caller to hand to the decision module as if its own health check had seen them)."""
         sends = [self._attach(send) for send in self.membership.receive(now_ms, message)]
-        fresh: list[Report] = []
+        fresh: list[DutyReport] = []
         for report in message.reports:
             if report.duty not in self._listed or report.prober == self.me:
                 continue
@@ -241,7 +241,7 @@
             return since_ms - (wait_ms + tuning.k * tuning.takeover_ms + stagger_ms)
         return since_ms - (wait_ms + sure_above * tuning.takeover_ms)
 
-    def _contest(self, now_ms: float, report: Report) -> None:
+    def _contest(self, now_ms: float, report: DutyReport) -> None:
         """Another did ``report.duty`` as its owner. If this member thinks so of itself too, the higher weight
         keeps it; the loser grants a lease."""
         if self.rank(report.duty) != 0:
@@ -257,11 +257,11 @@
             if lease.until_ms <= now_ms:
                 del self.leases[duty]
 
-    def _attach(self, send: Send) -> Send:
+    def _attach(self, send: OutgoingDatagram) -> OutgoingDatagram:
         """The message with reports piggybacked, unless it is full of updates, which are few at most times."""
-        if not self._reports or len(send.message.updates) > self.membership.tuning.piggyback:
+        if not self._reports or len(send.message.updates) > self.membership.tuning.max_piggybacked:
             return send
-        return Send(send.to, replace(send.message, reports=self._reports.take()))
+        return OutgoingDatagram(send.to, replace(send.message, reports=self._reports.take()))
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
--- a/beechslip/duties/reports.py
+++ b/beechslip/duties/reports.py
@@ -5,11 +5,11 @@
 from collections.abc import Container
 from typing import NamedTuple
 
-from beechslip.fleet.messages import Report
+from beechslip.fleet.messages import DutyReport
 
 
 class _Queued(NamedTuple):
-    report: Report
+    report: DutyReport
     left: int  # transmissions left
 
 
@@ -30,7 +30,7 @@
         """The duties with a report to be sent."""
         return set(self._queue)
 
-    def add(self, report: Report) -> None:
+    def add(self, report: DutyReport) -> None:
         """Queue ``report`` unless one at least as new is queued for its duty."""
         queued = self._queue.get(report.duty)
         if queued is None or queued.report.at_ms < report.at_ms:
@@ -41,7 +41,7 @@
         for duty in [duty for duty in self._queue if duty not in duties]:
             del self._queue[duty]
 
-    def take(self) -> tuple[Report, ...]:
+    def take(self) -> tuple[DutyReport, ...]:
         """The newest reports for one message."""
         newest = sorted(self._queue.items(), key=lambda item: -item[1].report.at_ms)
         chosen = newest[: self._per_message]
--- a/beechslip/duties/settings.py
+++ b/beechslip/duties/settings.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 from beechslip.duties.tuning import DutyTuning
-from beechslip.fleet.settings import FleetConfig, Table
+from beechslip.fleet.settings import FleetConfig, SettingsTable
 
 KEYS = ("enabled", "interval_ms", "takeover_ms", "lease_ms", "standbys", "rate_per_s")
 
 
 def read_duties(fleet: FleetConfig) -> DutyTuning | None:
     """The table's settings, ``None`` if not ``enabled``; ConfigError by name if one can't be used."""
-    table = Table(f"{fleet.file}: duties", fleet.tables["duties"], KEYS)
-    if not table.flag("enabled"):
+    table = SettingsTable(f"{fleet.file}: duties", fleet.tables["duties"], KEYS)
+    if not table.boolean("enabled"):
         return None
     return DutyTuning(
         interval_ms=table.number("interval_ms", 2000),
         takeover_ms=table.number("takeover_ms", 2000),
         lease_ms=table.number("lease_ms", 4000),
-        k=table.whole("standbys", 2, 0, 8) + 1,
+        k=table.integer("standbys", 2, 0, 8) + 1,
         rate_per_s=table.number("rate_per_s", 50),
     )
--- a/beechslip/duties/shared.py
+++ b/beechslip/duties/shared.py
@@ -24,7 +24,7 @@
 from beechslip.counters import Counters
 from beechslip.duties.node import NEVER_MS, DutyNode
 from beechslip.fleet.codec import MEMBERSHIP_KINDS
-from beechslip.fleet.messages import Message, Report, Send
+from beechslip.fleet.messages import DutyReport, OutgoingDatagram, PeerMessage
 from beechslip.routing import interface as i
 
 log = logging.getLogger("beechslip.duties")
@@ -34,7 +34,7 @@
 ERROR: Final = "error"
 
 
-def usable_report(node: DutyNode, duty: str, now_ms: float) -> Report | None:
+def usable_report(node: DutyNode, duty: str, now_ms: float) -> DutyReport | None:
     """Another member's report of ``duty`` that may answer a health check requested at ``now_ms``, if there is one.
 
     Only a report younger than the interval, by another member, for a duty this member does not own.
@@ -88,7 +88,7 @@
         self._post(i.HealthCheckResult(duty, ended.result, took_s, ended.report))
         return ended.result == OK
 
-    def on_report(self, report: Report) -> None:
+    def on_report(self, report: DutyReport) -> None:
         """Another member's health check: to the module as if it were this one's."""
         if report.duty in self._backends:
             self._counters.add("probe.heard")
@@ -116,7 +116,7 @@
         self._note = note
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def tick(self, now_ms: float) -> list[Send]:
+    def tick(self, now_ms: float) -> list[OutgoingDatagram]:
         """Start the duties that are due; the messages to send."""
         due = self.node.tick(now_ms)
         for duty in due.start:
@@ -126,14 +126,14 @@
             task.add_done_callback(self._tasks.discard)
         return due.sends
 
-    def receive(self, now_ms: float, message: Message) -> list[Send]:
+    def receive(self, now_ms: float, message: PeerMessage) -> list[OutgoingDatagram]:
         """Handle a membership message; the module hears of the reports that are new."""
         receipt = self.node.receive(now_ms, message)
         for report in receipt.fresh:
             self._shared.on_report(report)
         return receipt.sends
 
-    def stop(self, now_ms: float) -> list[Send]:
+    def stop(self, now_ms: float) -> list[OutgoingDatagram]:
         """Cancel the running health checks, and leave the membership; ``wait_closed`` awaits what is cancelled."""
         for task in self._tasks:
             task.cancel()
--- a/beechslip/duties/sim.py
+++ b/beechslip/duties/sim.py
@@ -22,7 +22,7 @@
 from beechslip.duties.tuning import DutyTuning
 from beechslip.fleet.codec import decode, encode
 from beechslip.fleet.membership import Membership
-from beechslip.fleet.messages import Message, Send
+from beechslip.fleet.messages import OutgoingDatagram, PeerMessage
 from beechslip.fleet.tuning import MembershipTuning
 
 EPOCH = 1_764_576_000_000  # incarnations are times of day in ms, and take as many bytes in a datagram
@@ -133,7 +133,7 @@
                 self._at(self.now + self.duty_ms, partial(self._done, name, duty))
         self._at(self.now + self.tick_ms, partial(self._tick, name))
 
-    def _send(self, sender: str, send: Send) -> None:
+    def _send(self, sender: str, send: OutgoingDatagram) -> None:
         self.datagrams += 1
         cut = self.sides and self.sides.get(sender, 0) != self.sides.get(send.to, 0)
         if cut or self.rng.random() < self.net.loss:
@@ -147,7 +147,7 @@
             delay += self.rng.uniform(0, self.net.late_ms)
         self._at(self.now + delay, partial(self._deliver, send.to, message))
 
-    def _deliver(self, to: str, message: Message) -> None:
+    def _deliver(self, to: str, message: PeerMessage) -> None:
         if to in self.dead or to in self.paused or message.sender in self.dead:
             return
         for send in self.nodes[to].receive(self.now, message).sends:
--- a/beechslip/fleet/__init__.py
+++ b/beechslip/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet of proxies: who is alive, peer datagrams, and the one peer socket."""
+"""The fleet of proxies: membership, peer messages in datagrams, and the peer socket."""
--- a/beechslip/fleet/codec.py
+++ b/beechslip/fleet/codec.py
@@ -1,4 +1,4 @@
-"""Peer messages on the wire: Protocol Buffers (proto3), one message a datagram, with a version.
+"""Wire format of peer messages: Protocol Buffers (proto3), one message in each datagram, with a version.
 
 The schema is built as a ``FileDescriptorProto`` here rather than compiled from a ``.proto`` file, so that no
 generated module or compiler is needed; it reads as::
@@ -12,10 +12,9 @@
       string target = 6; repeated Update updates = 7; repeated Report reports = 8; bytes body = 9;
     }
 
-A report's time goes as its age: no time of one machine is compared with a time of another. ``fleet`` keeps
-two fleets that share a port apart. :func:`decode` raises :class:`CodecError` for anything
-that is not a complete envelope of this version and fleet, within the bounds below; the caller counts and drops
-it.
+The time of a report is sent as its age, so that no time of one machine is compared with a time of another. ``fleet``
+separates two fleets that share a port. :func:`decode` raises :class:`CodecError` for anything that is not a complete
+envelope of this version and fleet, within the bounds below. The caller counts and drops such a datagram.
 """
 
 from __future__ import annotations
@@ -27,17 +26,17 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
-from beechslip.fleet.messages import ACK, PING, PING_REQ, REPORT, Message, Report, State, Update
+from beechslip.fleet.messages import ACK, PING, PING_REQ, REPORT, DutyReport, MemberState, MemberUpdate, PeerMessage
 
-VERSION = 2
-MOST_BYTES = 256  # the platform's bound on a datagram between proxies (a longer one voids a run)
-MOST_NAME = 128
+PROTOCOL_VERSION = 2
+MAX_DATAGRAM_BYTES = 256  # the platform's bound on a datagram between proxies; a longer one invalidates a run
+MAX_NAME_LENGTH = 128
 MEMBERSHIP_KINDS = frozenset({PING, ACK, PING_REQ, REPORT})
-KINDS = MEMBERSHIP_KINDS | {"lease", "act", "budget", "region"}
+MESSAGE_KINDS = MEMBERSHIP_KINDS | {"lease", "act", "budget", "region"}
 
 
 class CodecError(ValueError):
-    """A datagram that is not one of our messages; its text says why."""
+    """The data is not a valid message of this program, or a message can't be encoded; the text gives the reason."""
 
 
 _Field = descriptor_pb2.FieldDescriptorProto
@@ -65,11 +64,14 @@
     ("reports", 8, _Field.TYPE_MESSAGE),
     ("body", 9, _Field.TYPE_BYTES),
 )
-_REPEATED = {"updates": "beechslip.fleet.Update", "reports": "beechslip.fleet.Report"}  # fields and their types
+_REPEATED = {
+    "updates": "beechslip.fleet.Update",
+    "reports": "beechslip.fleet.Report",
+}  # repeated fields and their types
 
 
 def _envelope_class() -> type:
-    """The generated class of an envelope."""
+    """Return the generated protobuf class of the envelope."""
     file = descriptor_pb2.FileDescriptorProto(
         name="beechslip/fleet.proto", package="beechslip.fleet", syntax="proto3"
     )
@@ -87,25 +89,30 @@
 Envelope = _envelope_class()
 
 
-def encode(message: Message, fleet: str, now_ms: float = 0.0, most: int = MOST_BYTES) -> bytes:
-    """One datagram of at most ``most`` bytes: piggybacked updates and reports are dropped from the end until
-    it fits. :class:`CodecError` if even the bare envelope does not (names too long for the bound)."""
+def encode(message: PeerMessage, fleet: str, now_ms: float = 0.0, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
+    """Encode ``message`` as a datagram of at most ``max_bytes`` bytes.
+
+    Piggybacked updates and reports are dropped from the end until it fits. Raise :class:`CodecError` if even the
+    envelope without them does not fit, which means that names are too long.
+    """
     updates = list(message.updates)
     reports = list(message.reports)
     while True:
-        data = _serialize(message, updates, reports, fleet, now_ms)
-        if len(data) <= most:
+        data = _serialize_envelope(message, updates, reports, fleet, now_ms)
+        if len(data) <= max_bytes:
             return data
         if not (updates or reports):
-            raise CodecError(f"a bare message of {len(data)} bytes, over {most}")
+            raise CodecError(
+                f"message too long: {len(data)} bytes without updates and reports, expected at most {max_bytes}"
+            )
         (reports if len(reports) >= len(updates) else updates).pop()
 
 
-def _serialize(
-    message: Message, updates: Iterable[Update], reports: Iterable[Report], fleet: str, now_ms: float
+def _serialize_envelope(
+    message: PeerMessage, updates: Iterable[MemberUpdate], reports: Iterable[DutyReport], fleet: str, now_ms: float
 ) -> bytes:
     envelope = Envelope(
-        version=VERSION,
+        version=PROTOCOL_VERSION,
         fleet=fleet,
         kind=message.kind,
         sender=message.sender,
@@ -129,42 +136,44 @@
     return data
 
 
-def decode(data: bytes, fleet: str, now_ms: float = 0.0, most: int = MOST_BYTES) -> Message:
-    """The message in ``data``; :class:`CodecError` if it is not a complete, bounded envelope of ``fleet``."""
-    if len(data) > most:
-        raise CodecError(f"{len(data)} bytes, over {most}")
+def decode(data: bytes, fleet: str, now_ms: float = 0.0, max_bytes: int = MAX_DATAGRAM_BYTES) -> PeerMessage:
+    """Decode a datagram. Raise :class:`CodecError` if it is not a complete, bounded envelope of ``fleet``."""
+    if len(data) > max_bytes:
+        raise CodecError(f"datagram too long: {len(data)} bytes, expected at most {max_bytes}")
     envelope = Envelope()
     try:
         envelope.ParseFromString(data)
     except DecodeError as error:
-        raise CodecError(f"not a message: {error}") from None
-    _check(envelope, fleet)
+        raise CodecError(f"not a protobuf message: {error}") from None
+    _check_envelope(envelope, fleet)
     try:
-        updates = tuple(Update(u.member, int(u.incarnation), State(u.state), u.by) for u in envelope.updates)
+        updates = tuple(
+            MemberUpdate(u.member, int(u.incarnation), MemberState(u.state), u.by) for u in envelope.updates
+        )
     except ValueError:
-        raise CodecError("unknown state") from None
+        raise CodecError("unknown member state in an update") from None
     if any(not math.isfinite(report.age_ms) for report in envelope.reports):
-        raise CodecError("a report's time is not a number")
+        raise CodecError("invalid age of a report: expected a finite number")
     reports = tuple(
-        Report(r.duty, r.prober, now_ms - float(r.age_ms), bool(r.ok), bool(r.owner)) for r in envelope.reports
+        DutyReport(r.duty, r.prober, now_ms - float(r.age_ms), bool(r.ok), bool(r.owner)) for r in envelope.reports
     )
-    return Message(
+    return PeerMessage(
         envelope.kind, envelope.sender, int(envelope.seq), envelope.target, updates, reports, bytes(envelope.body)
     )
 
 
-def _check(envelope: Any, fleet: str) -> None:
-    """CodecError unless version, fleet, kind and the lengths of names are as they must be."""
-    if envelope.version != VERSION:
-        raise CodecError(f"version {envelope.version}, not {VERSION}")
+def _check_envelope(envelope: Any, fleet: str) -> None:
+    """Raise CodecError unless the version, the fleet, the kind and the lengths of the names are valid."""
+    if envelope.version != PROTOCOL_VERSION:
+        raise CodecError(f"unsupported protocol version {envelope.version}: expected {PROTOCOL_VERSION}")
     if envelope.fleet != fleet:
-        raise CodecError("another fleet's message")
-    if envelope.kind not in KINDS:
-        raise CodecError(f"unknown kind {envelope.kind[:20]!r}")
+        raise CodecError("message of another fleet")
+    if envelope.kind not in MESSAGE_KINDS:
+        raise CodecError(f"unknown kind of message: {envelope.kind[:20]!r}")
     names = [envelope.sender, envelope.target]
     for update in envelope.updates:
         names += [update.member, update.by]
     for report in envelope.reports:
         names += [report.duty, report.prober]
-    if not envelope.sender or any(len(name) > MOST_NAME for name in names):
-        raise CodecError("a name is missing or too long")
+    if not envelope.sender or any(len(name) > MAX_NAME_LENGTH for name in names):
+        raise CodecError("invalid name: missing or too long")
--- a/beechslip/fleet/member.py
+++ b/beechslip/fleet/member.py
@@ -1,7 +1,7 @@
-"""One member as a view has it: precedence of updates, and how long a suspicion lasts.
+"""The state of one member in a membership view: precedence of updates, and duration of a suspicion.
 
 Sources: the SWIM paper (4.2) for precedence and suspicion; A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local
-Health Awareness for More Accurate Failure Detection", DSN-W 2018 (LHA-Suspicion) for the time of a suspicion.
+Health Awareness for More Accurate Failure Detection", DSN-W 2018 (LHA-Suspicion) for the duration of a suspicion.
 """
 
 from __future__ import annotations
@@ -9,46 +9,49 @@
 import math
 from dataclasses import dataclass
 
-from beechslip.fleet.messages import State, Update
+from beechslip.fleet.messages import MemberState, MemberUpdate
 from beechslip.fleet.tuning import MembershipTuning
 
 
 @dataclass(slots=True)
 class Member:
-    """The state of another member, since ``since_ms``, and which members accuse it."""
+    """The state of another member since ``since_ms``, and the members that accuse it."""
 
     name: str
     incarnation: int
-    state: State
+    state: MemberState
     since_ms: float
-    accusers: frozenset[str] = frozenset()  # who suspect it on their own; at most one more than tuning.accusers
+    accusers: frozenset[str] = frozenset()  # those who suspect it on their own evidence; at most tuning.accusers + 1
 
-    def as_update(self) -> Update:
-        """The member's state as gossip, without an accuser."""
-        return Update(self.name, self.incarnation, self.state)
+    def as_update(self) -> MemberUpdate:
+        """Return the member's state as an update without an accuser."""
+        return MemberUpdate(self.name, self.incarnation, self.state)
 
-    def apply(self, update: Update, now_ms: float) -> None:
-        """Take over the state of ``update``, which must override this one."""
+    def apply(self, update: MemberUpdate, now_ms: float) -> None:
+        """Set the state to that of ``update``, which must override the present one."""
         if self.state is not update.state or self.incarnation != update.incarnation:
             self.since_ms = now_ms
             self.accusers = frozenset()
         self.incarnation = update.incarnation
         self.state = update.state
 
-    def is_new_accusation(self, update: Update, most_accusers: int) -> bool:
-        """Whether ``update`` repeats this suspicion by another accuser, of the first ``most_accusers`` + 1."""
-        same = update.state is self.state is State.SUSPECT and update.incarnation == self.incarnation
-        return same and bool(update.by) and update.by not in self.accusers and len(self.accusers) <= most_accusers
+    def is_new_accusation(self, update: MemberUpdate, max_accusers: int) -> bool:
+        """True if ``update`` repeats this suspicion by a new accuser, one of the first ``max_accusers`` + 1."""
+        is_repeat = update.state is self.state is MemberState.SUSPECT and update.incarnation == self.incarnation
+        return is_repeat and bool(update.by) and update.by not in self.accusers and len(self.accusers) <= max_accusers
 
 
-def overrides(new: Update, old: Member) -> bool:
-    """SWIM's precedence as one order: by incarnation, then alive < suspect < dead. Being a total order, the
-    state reached is the greatest update heard, whatever order updates come in (a join-semilattice)."""
+def overrides(new: MemberUpdate, old: Member) -> bool:
+    """True if ``new`` overrides ``old`` by the precedence of SWIM: by incarnation, then alive < suspect < dead.
+
+    As this is a total order, the state reached is the greatest update received, in whatever order updates arrive (a
+    join-semilattice).
+    """
     return (new.incarnation, new.state) > (old.incarnation, old.state)
 
 
 def suspicion_ms(member: Member, tuning: MembershipTuning) -> float:
-    """How long ``member`` stays suspect (ms): less with each other member that accuses it on its own."""
+    """Return how long ``member`` stays suspect (ms): less with each further member that accuses it on its own."""
     if not tuning.accusers:
         fraction = 1.0
     else:
--- a/beechslip/fleet/peers.py
+++ b/beechslip/fleet/peers.py
@@ -1,10 +1,11 @@
-"""The one peer socket of a proxy, and the parts that speak through it: the only I/O of the fleet packages.
+"""The peer socket of a proxy, and the interface of the parts that use it: the only I/O among peers.
 
-A member's name is ``dN``, N being its number in the settings; :class:`Peers` knows each member's address as
-*this* proxy sees it. A datagram counts only if it comes from the address that its sender has in ``peers``;
-others are counted (``fleet.foreign``) and dropped, as are those that can't be read (``fleet.bad``).
+The name of a member is ``dN``, where N is its number in the settings. :class:`PeerSocket` knows the address of each
+member as *this* proxy sees it. A datagram is accepted only from the address that its sender has in ``peers``. Others
+are counted (``fleet.foreign``) and dropped, as are those that can't be decoded (``fleet.bad``).
 
-Each part is pure (:class:`Part`); every ``tick_ms`` all parts are ticked and the messages they return are sent.
+Each part does no I/O of its own (:class:`PeerPart`). Every ``tick_ms`` all parts are ticked, and the messages that
+they return are sent.
 """
 
 from __future__ import annotations
@@ -18,39 +19,41 @@
 from beechslip.config import Address
 from beechslip.counters import Counters
 from beechslip.fleet.codec import CodecError, decode, encode
-from beechslip.fleet.messages import Message, Send
+from beechslip.fleet.messages import OutgoingDatagram, PeerMessage
 
 log = logging.getLogger("beechslip.fleet")
 
-READ_BYTES = 2048  # more than any datagram that is one of ours
+READ_BYTES = 2048  # longer than any valid datagram
 
 
 def member_name(number: int) -> str:
-    """The name of the member that has ``number`` in the settings."""
+    """Return the name of the member that has ``number`` in the settings."""
     return f"d{number}"
 
 
-class Part(Protocol):
-    """A pure state machine behind the socket. Times are steady ms of this machine."""
+class PeerPart(Protocol):
+    """A state machine without I/O that uses the peer socket. Times are in ms by the steady clock of this machine."""
 
-    kinds: frozenset[str]  # the kinds of message it reads
+    kinds: frozenset[str]  # the kinds of message that it receives
 
-    def tick(self, now_ms: float) -> list[Send]:
-        """Whatever is due by ``now_ms``; the messages to send."""
+    def tick(self, now_ms: float) -> list[OutgoingDatagram]:
+        """Do whatever is due by ``now_ms``. Return the messages to send."""
         ...
 
-    def receive(self, now_ms: float, message: Message) -> list[Send]:
-        """Handle a message of one of ``kinds``; the messages to send on account of it."""
+    def receive(self, now_ms: float, message: PeerMessage) -> list[OutgoingDatagram]:
+        """Handle a message of one of ``kinds``. Return the messages to send because of it."""
         ...
 
-    def stop(self, now_ms: float) -> list[Send]:
-        """The last messages, at a graceful shutdown."""
+    def stop(self, now_ms: float) -> list[OutgoingDatagram]:
+        """Return the last messages to send, at a graceful shutdown."""
         ...
 
 
-class Peers(asyncio.DatagramProtocol):
-    """Owns the socket, bound to ``listen``; ``peers`` are the members' addresses in the order of their
-    numbers, this one's own at ``number``."""
+class PeerSocket(asyncio.DatagramProtocol):
+    """The UDP socket bound to ``listen``, which the parts send and receive through.
+
+    ``peers`` are the addresses of the members in the order of their numbers; that of this member is at ``number``.
+    """
 
     def __init__(
         self,
@@ -58,12 +61,12 @@
         number: int,
         listen: Address,
         peers: Sequence[Address],
-        parts: Sequence[Part],
+        parts: Sequence[PeerPart],
         clock: Clock,
         counters: Counters,
         tick_ms: float = 50.0,
     ) -> None:
-        """``fleet`` keeps fleets that share a port apart; the socket is opened by :meth:`start`."""
+        """``fleet`` separates fleets that share a port. The socket is opened by :meth:`start`."""
         self.fleet = fleet
         self.me = member_name(number)
         self.listen = listen
@@ -73,19 +76,19 @@
         self._tick_ms = tick_ms
         self._transport: asyncio.DatagramTransport | None = None
         self._alarm: Alarm | None = None
-        self.move(peers)
+        self.set_peers(peers)
 
-    def move(self, peers: Sequence[Address]) -> None:
-        """Other members, or other addresses of theirs, from now on."""
+    def set_peers(self, peers: Sequence[Address]) -> None:
+        """Replace the members and their addresses from now on."""
         self._addresses = {member_name(n): (p.host, p.port) for n, p in enumerate(peers)}
         self._names = {address: name for name, address in self._addresses.items()}
 
     def others(self) -> list[str]:
-        """The other members, in the order of their numbers."""
+        """Return the names of the other members, in the order of their numbers."""
         return [name for name in self._addresses if name != self.me]
 
     async def start(self) -> None:
-        """Open the socket and tick from now on; OSError if ``listen`` can't be bound."""
+        """Open the socket and start ticking. Raise OSError if ``listen`` can't be bound."""
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=(self.listen.host, self.listen.port)
         )
@@ -103,20 +106,20 @@
             self._transport = None
 
     def _tick(self) -> None:
-        # The next tick is set first: a part that fails must not silence the others for good.
+        # The next tick is scheduled first, so that a part that fails does not stop all parts for good.
         self._alarm = self.clock.call_later(self._tick_ms, self._tick)
         for part in self._parts:
             try:
                 self._send(part.tick(self.clock.steady_ms()))
             except Exception:
                 self.counters.add("fault.fleet")
-                log.exception("a part of the fleet failed")
+                log.exception("unexpected error in the tick of a fleet part")
 
-    def say(self, sends: list[Send]) -> None:
-        """Send what a part has to send between its ticks."""
+    def send(self, sends: list[OutgoingDatagram]) -> None:
+        """Send the messages that a part has to send between its ticks."""
         self._send(sends)
 
-    def _send(self, sends: list[Send]) -> None:
+    def _send(self, sends: list[OutgoingDatagram]) -> None:
         for send in sends:
             address = self._addresses.get(send.to)
             if address is None or self._transport is None:
@@ -126,20 +129,20 @@
                 data = encode(send.message, self.fleet, self.clock.steady_ms())
             except CodecError as error:
                 self.counters.add("fleet.unsendable")
-                log.debug("not sent: %s", error)
+                log.debug("peer message not sent: %s", error)
                 continue
             self._transport.sendto(data, address)
             self.counters.add("fleet.sent")
             self.counters.add("fleet.bytes", len(data))
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
-        """Check the sender and hand the message to the parts that read its kind."""
+        """Check the sender, and pass the message to the parts that receive its kind."""
         now = self.clock.steady_ms()
         try:
             message = decode(data, self.fleet, now)
         except CodecError as error:
             self.counters.add("fleet.bad")
-            log.debug("dropped a datagram from %s: %s", addr, error)
+            log.debug("datagram dropped: from=%s: %s", addr, error)
             return
         if self._names.get((str(addr[0]), addr[1])) != message.sender or message.sender == self.me:
             self.counters.add("fleet.foreign")
@@ -152,8 +155,10 @@
                 self._send(part.receive(now, message))
             except Exception:
                 self.counters.add("fault.fleet")
-                log.exception("a message of %s", message.sender)
+                log.exception("unexpected error while handling a peer message: sender=%s", message.sender)
 
     def error_received(self, exc: Exception) -> None:
-        """Count a failed send; datagrams are not sent again here."""
-        self.counters.add("fleet.send_failed")  # e.g. a port that nobody listens on: lossy by design
+        """Count a failed send. Datagrams are not sent again here."""
+        self.counters.add(
+            "fleet.send_failed"
+        )  # for example no process listens on the port; loss of datagrams is expected
--- a/beechslip/fleet/tuning.py
+++ b/beechslip/fleet/tuning.py
@@ -1,4 +1,4 @@
-"""Times and bounds of the membership protocol."""
+"""Settings of the membership protocol: times and bounds."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipTuning:
-    """Times in ms. Defaults suit a fleet of hundreds on one site with a period of half a second."""
+    """Times in ms. The defaults suit a fleet of hundreds of members on one site, with a period of half a second."""
 
     period_ms: float = 500.0
-    ack_ms: float = 150.0
-    retries: int = 2  # pings more in the same period, where no ack comes: cheaper than a false suspicion
-    indirect: int = 3  # members asked to ping a silent one
-    suspect_ms: float = 1500.0  # how long a peer stays suspect whom `accusers` others accuse, too
-    suspect_most_ms: float = 6000.0  # and one whom a single member accuses
+    ack_timeout_ms: float = 150.0
+    extra_pings: int = 2  # further pings in the same period if no ack arrives: cheaper than a false suspicion
+    indirect: int = 3  # members that are asked to ping a silent one
+    suspect_ms: float = 1500.0  # how long a peer stays suspect that `accusers` others accuse, too
+    suspect_most_ms: float = 6000.0  # how long a peer stays suspect that a single member accuses
     accusers: int = 3
-    piggyback: int = 5  # the codec drops what does not fit a 256-byte datagram beside reports
-    retransmit: float = 3.0
-    most_members: int = 4096
+    max_piggybacked: int = 5  # updates in a message; the codec drops those that, beside reports, exceed 256 bytes
+    retransmit_factor: float = 3.0
+    max_members: int = 4096
     forget_ms: float = 60_000.0
-    rejoin_every: int = 4  # periods between pings of a member taken for dead
-    gossip_ms: float = 250.0  # while updates are queued, they also go out by themselves this often,
-    fanout: int = 2  # to so many members
-    gossip_most: int = 9  # updates in one of these
+    rejoin_interval_periods: int = 4  # periods between two pings to members taken for dead
+    gossip_interval_ms: float = 250.0  # interval of messages that carry only updates, while updates are queued
+    gossip_fanout: int = 2  # members that receive such a message each time
+    max_gossip_updates: int = 9  # updates in such a message
--- a/beechslip/leases/fence.py
+++ b/beechslip/leases/fence.py
@@ -1,38 +1,41 @@
-"""Fencing tokens at the receiver of an act for the fleet: a lower one than was accepted before is refused. Pure.
+"""Check of fencing tokens at the receiver of an act: a token lower than one accepted before is refused. No I/O.
 
 Source: M. Burrows, "The Chubby lock service", OSDI 2006 (sequencers); M. Kleppmann, "How to do distributed
-locking", 2016. What a lease can't prevent, a holder that stands still between its check and its act, ends
-here.
+locking", 2016. A lease can't prevent that its holder is paused between checking the lease and acting, and acts
+after the lease has expired. The fence refuses such a late act.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MOST_NAMES = 256
+MAX_TASKS = 256
 
 
 class FencingToken(NamedTuple):
-    """A token with the member whose it is."""
+    """A fencing token and the member that holds it."""
 
     token: int
     holder: str
 
 
 class Fence:
-    """The highest token accepted, by task; at most ``MOST_NAMES`` tasks."""
+    """The highest token accepted for each task, for at most ``MAX_TASKS`` tasks."""
 
     def __init__(self) -> None:
-        """Begin empty: a receiver that has restarted accepts any token first."""
+        """Start empty: after a restart, a receiver accepts any token as the first of a task."""
         self.highest: dict[str, FencingToken] = {}
 
-    def take(self, name: str, token: int, holder: str) -> bool:
-        """Whether an act of ``holder`` under ``token`` may take effect; a token is one holder's for good."""
+    def accept(self, name: str, token: int, holder: str) -> bool:
+        """Record ``token`` and return True if an act of ``holder`` under it may take effect.
+
+        A token always belongs to the same holder: the highest token is refused if another holder sends it, too.
+        """
         highest = self.highest.get(name)
-        if highest is None and len(self.highest) >= MOST_NAMES:
+        if highest is None and len(self.highest) >= MAX_TASKS:
             return False
-        top, owner = highest or FencingToken(0, "")
-        if token < top or (token == top and owner != holder):
+        highest_token, highest_holder = highest or FencingToken(0, "")
+        if token < highest_token or (token == highest_token and highest_holder != holder):
             return False
         self.highest[name] = FencingToken(token, holder)
         return True
--- a/beechslip/leases/messages.py
+++ b/beechslip/leases/messages.py
@@ -1,6 +1,6 @@
-"""Messages between proposers and acceptors of leases, and their encoding in a peer datagram's ``body``.
+"""Messages between proposers and acceptors of leases, and their encoding in the ``body`` of a peer message.
 
-The schema, built as a descriptor as in :mod:`beechslip.fleet.codec`::
+The schema is built as a descriptor, as in :mod:`beechslip.fleet.codec`::
 
     message Lease { uint32 kind = 1; string name = 2; uint64 round = 3; fixed64 incarnation = 4; uint32 seq = 5;
       repeated uint32 sets = 6; bool open = 7; uint64 highest = 8; double lease_ms = 9; bool settled = 10;
@@ -20,22 +20,26 @@
 
 from beechslip.fleet.codec import CodecError
 
-MOST_ROUND = 1 << 53  # above the time of day in ms for ages, and exact wherever JSON is read
-MOST_NAME = 32
-MOST_SETS = 4  # changes of the declared set that may be under way at once
+MAX_ROUND = 1 << 53  # far above the time of day in ms (where rounds begin), and exact in any JSON reader
+MAX_NAME_LENGTH = 32
+MAX_MEMBER_SETS = 4  # bound on the declared sets that may be binding at once, while changes are under way
 
 
 class Ballot(NamedTuple):
-    """Unique: no member uses a round twice in one incarnation, and ``incarnation`` is drawn at random at each start.
-    Ordered by round alone (acceptors promise only a higher round), so that a round names one holder."""
+    """A ballot number of Paxos.
+
+    It is unique: no member uses a round twice in one incarnation, and ``incarnation`` is drawn at random at each
+    start. Ballots are ordered by round alone (acceptors promise only a higher round), so a round identifies one
+    holder.
+    """
 
     round: int
     incarnation: int
     member: str
 
 
-class Kind(IntEnum):
-    """The kind of a lease message; the numbers go on the wire."""
+class LeaseMessageKind(IntEnum):
+    """The kind of a lease message; its number is sent on the wire."""
 
     PREPARE = 1
     PROMISE = 2
@@ -45,56 +49,62 @@
     RELEASE = 6
 
 
-REQUEST_KINDS = frozenset({Kind.PREPARE, Kind.PROPOSE, Kind.RELEASE})  # to acceptors; the rest go to proposers
+REQUEST_KINDS = frozenset(
+    {LeaseMessageKind.PREPARE, LeaseMessageKind.PROPOSE, LeaseMessageKind.RELEASE}
+)  # sent to acceptors; the other kinds are sent to proposers
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseMessage:
-    """``round`` and ``incarnation`` are the ballot's (its member is who asks). ``sets`` are the sizes of the declared
-    sets that the sender goes by, the newest last. ``highest`` is the highest round an acceptor knows of."""
+    """A request of a proposer to an acceptor, or the reply to it.
+
+    ``round`` and ``incarnation`` are those of the ballot; the member of the ballot is the proposer. ``sets`` are the
+    sizes of the declared sets that are binding for the sender, the newest last. ``highest`` is the highest round that
+    the acceptor knows of.
+    """
 
-    kind: Kind
+    kind: LeaseMessageKind
     name: str
     round: int
     incarnation: int
-    seq: int = 0  # numbers the proposals of one ballot
+    seq: int = 0  # number of the proposal within its ballot
     sets: tuple[int, ...] = ()
-    open: bool = False  # a promise that finds no lease of another in force
+    open: bool = False  # in a promise: no lease of another member is in force at the acceptor
     highest: int = 0
     lease_ms: float = 0.0
-    settled: bool = False  # the sets before the newest bind no longer
-    holder: str = ""  # whose lease stands in the way
+    settled: bool = False  # the sets before the newest are no longer binding
+    holder: str = ""  # in a refusal: the member whose lease is in force
 
 
-class Outgoing(NamedTuple):
-    """A lease message and the member that it is to be sent to."""
+class OutgoingMessage(NamedTuple):
+    """A lease message and the member to send it to."""
 
     to: str
     message: LeaseMessage
 
 
-class Verb(IntEnum):
-    """What an act message is: the act itself, or the answer of the member that received it."""
+class ActMessageKind(IntEnum):
+    """The kind of an act message: the act itself, or the answer of the member that received it."""
 
-    ACT = 1  # do this for the fleet
+    ACT = 1  # the act, to be carried out by the receiver
     TAKEN = 2
-    REFUSED = 3  # ``token`` is the highest that the answering member knows of
+    REFUSED = 3  # here ``token`` is the highest token that the answering member knows of
 
 
 @dataclass(frozen=True, slots=True)
 class ActMessage:
-    """An act for the fleet with its fencing token, or the answer to one. ``seq`` numbers one sender's acts."""
+    """An act of a fleet-wide task with its fencing token, or the answer to one. ``seq`` numbers the sender's acts."""
 
     name: str
     token: int
     seq: int
-    verb: Verb = Verb.ACT
+    verb: ActMessageKind = ActMessageKind.ACT
     body: bytes = b""
 
 
 _Field = descriptor_pb2.FieldDescriptorProto
 _REPEATED = frozenset({"sets"})
-# Fields in the order of their numbers, which go on the wire; names do not.
+# Fields in the order of their numbers. The numbers are sent on the wire, the names are not.
 _LEASE_FIELDS = (
     ("kind", _Field.TYPE_UINT32),
     ("name", _Field.TYPE_STRING),
@@ -117,8 +127,8 @@
 )
 
 
-def _schema() -> tuple[Any, Any]:
-    """The generated classes of Lease and Act."""
+def _build_message_classes() -> tuple[Any, Any]:
+    """Return the generated protobuf classes of Lease and Act."""
     file = descriptor_pb2.FileDescriptorProto(
         name="beechslip/leases.proto", package="beechslip.leases", syntax="proto3"
     )
@@ -136,11 +146,11 @@
     return lease_class, act_class
 
 
-_Lease, _Act = _schema()
+_Lease, _Act = _build_message_classes()
 
 
 def encode_lease(message: LeaseMessage) -> bytes:
-    """The message as a protobuf body; its names must be within ``MOST_NAME`` to be decoded again."""
+    """Return the message as a protobuf body. Only a name of at most ``MAX_NAME_LENGTH`` can be decoded again."""
     data: bytes = _Lease(
         kind=int(message.kind),
         name=message.name,
@@ -157,29 +167,29 @@
     return data
 
 
-def _parse(message_class: Any, data: bytes) -> Any:
-    """The protobuf message of ``message_class`` in ``data``, with a usable name; CodecError otherwise."""
+def _parse_named_message(message_class: Any, data: bytes) -> Any:
+    """Parse ``data`` as a ``message_class``. Raise CodecError if it fails, or if the name is missing or too long."""
     parsed = message_class()
     try:
         parsed.ParseFromString(data)
     except DecodeError as error:
-        raise CodecError(f"not a message: {error}") from None
-    if not parsed.name or len(parsed.name) > MOST_NAME:
-        raise CodecError("a name is missing or too long")
+        raise CodecError(f"not a protobuf message: {error}") from None
+    if not parsed.name or len(parsed.name) > MAX_NAME_LENGTH:
+        raise CodecError("invalid name: missing or too long")
     return parsed
 
 
 def decode_lease(data: bytes) -> LeaseMessage:
-    """The lease message in ``data``; CodecError for anything that no proposer or acceptor of ours would send."""
-    parsed = _parse(_Lease, data)
-    if not 0 < parsed.round < MOST_ROUND or not 0 <= parsed.highest < MOST_ROUND:
-        raise CodecError("a round out of range")
-    if not math.isfinite(parsed.lease_ms) or parsed.lease_ms < 0 or len(parsed.sets) > MOST_SETS:
-        raise CodecError("a lease time or a set out of range")
+    """Decode a lease message. Raise CodecError for anything that no proposer or acceptor of this program sends."""
+    parsed = _parse_named_message(_Lease, data)
+    if not 0 < parsed.round < MAX_ROUND or not 0 <= parsed.highest < MAX_ROUND:
+        raise CodecError("invalid round: out of range")
+    if not math.isfinite(parsed.lease_ms) or parsed.lease_ms < 0 or len(parsed.sets) > MAX_MEMBER_SETS:
+        raise CodecError("invalid lease time or number of member sets: out of range")
     try:
-        kind = Kind(parsed.kind)
+        kind = LeaseMessageKind(parsed.kind)
     except ValueError:
-        raise CodecError(f"unknown kind {parsed.kind}") from None
+        raise CodecError(f"unknown kind of lease message: {parsed.kind}") from None
     return LeaseMessage(
         kind,
         parsed.name,
@@ -196,7 +206,7 @@
 
 
 def encode_act(message: ActMessage) -> bytes:
-    """The act or answer as a protobuf body."""
+    """Return the act or answer as a protobuf body."""
     data: bytes = _Act(
         name=message.name, token=message.token, seq=message.seq, verb=int(message.verb), body=message.body
     ).SerializeToString()
@@ -204,12 +214,12 @@
 
 
 def decode_act(data: bytes) -> ActMessage:
-    """The act or answer in ``data``; CodecError for what is neither."""
-    parsed = _parse(_Act, data)
-    if not 0 < parsed.token < MOST_ROUND:
-        raise CodecError("a token out of range")
+    """Decode an act or an answer. Raise CodecError if ``data`` is neither."""
+    parsed = _parse_named_message(_Act, data)
+    if not 0 < parsed.token < MAX_ROUND:
+        raise CodecError("invalid fencing token: out of range")
     try:
-        verb = Verb(parsed.verb)
+        verb = ActMessageKind(parsed.verb)
     except ValueError:
-        raise CodecError(f"unknown verb {parsed.verb}") from None
+        raise CodecError(f"unknown kind of act message: {parsed.verb}") from None
     return ActMessage(parsed.name, int(parsed.token), int(parsed.seq), verb, bytes(parsed.body))
--- a/beechslip/leases/node.py
+++ b/beechslip/leases/node.py
@@ -1,18 +1,18 @@
-"""All leases of one proxy: when to attempt, extend and back off; what it promised others. Pure.
+"""All leases of one proxy: when to attempt, extend and back off, and what its acceptors have promised. No I/O.
 
-:class:`LeaseNode` drives one :class:`~.paxos.Acceptor` and one :class:`~.paxos.Proposer` a name, by
-:meth:`tick` and :meth:`receive`. Safety is theirs alone: whatever this class does, and however late it is
-called, no two members hold a name at once. What is decided here is progress:
+:class:`LeaseNode` runs one :class:`~.paxos.Acceptor` and one :class:`~.paxos.Proposer` for each lease name, through
+:meth:`tick` and :meth:`receive`. Safety depends on these two alone: whatever this class does, and however late it is
+called, no two members hold a lease at once. This class decides about progress:
 
-- a contender waits until its own quiet time and the lease that it knows of are over, and then for its turn: all
-  members are ranked alike by hashes of name and member, beginning after the last holder, and begin
-  ``stagger_ms`` after one another. So the first that lives has the field to itself however many want the lease,
-  and the others receive its prepare and let it finish;
-- a request without an answer is sent again after ``resend_ms``, then with a backoff that grows by half each time,
-  and the attempt is given up after ``attempt_ms``; the wait before the next attempt goes by the rank, too;
-- a holder extends after a third of the lease time, so that two more attempts fit before it is lost.
+- A contender waits until its own quiet time and the lease that it knows of are over, and then for its turn. All
+  members compute the same ranking, by hashes of lease name and member, which begins after the last holder. They start
+  ``stagger_ms`` after one another. So the first live member has no competitor however many want the lease, and the
+  others receive its prepare and let it finish.
+- A request without an answer is sent again after ``resend_ms``, then with a backoff that grows by half each time. The
+  attempt is abandoned after ``attempt_ms``, and the wait before the next attempt depends on the rank, too.
+- A holder extends after a third of the lease time, so that two more attempts fit before the lease expires.
 
-Bounds: tables hold the names given at the start, and nothing else.
+Bounds: the tables contain only the lease names given at the start.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from beechslip.leases.messages import REQUEST_KINDS, Kind, LeaseMessage, Outgoing
-from beechslip.leases.paxos import Acceptor, LeaseTuning, Out, Proposer
+from beechslip.leases.messages import REQUEST_KINDS, LeaseMessage, LeaseMessageKind, OutgoingMessage
+from beechslip.leases.paxos import Acceptor, LeaseTuning, OutgoingMessages, Proposer
 
-RESEND_BACKOFF = 1.5  # factor from one resend's wait to the next
+RESEND_BACKOFF = 1.5  # factor from the wait before one resend to the wait before the next
 RENEWALS_PER_LEASE = 3.0  # a holder extends after the lease time divided by this
-MOST_QUICK_RETRIES = 3  # attempts made at once again after a round that was too low
+MAX_IMMEDIATE_RETRIES = 3  # attempts repeated without a wait because the round was too low
 RANK_JITTER = 0.3  # random addition to a rank, as a fraction of ``stagger_ms``
-BLOCKED_BACKOFF = (0.3, 0.6)  # bounds, as fractions of ``lease_ms``, of the wait where another holds the lease
+BLOCKED_BACKOFF = (0.3, 0.6)  # bounds of the wait while another member holds the lease, as fractions of ``lease_ms``
 
-Note = Callable[..., None]
+NoteCallback = Callable[..., None]
 
 
-def _silent(kind: str, **facts: object) -> None:
+def _ignore_event(kind: str, **facts: object) -> None:
     pass
 
 
@@ -49,9 +49,9 @@
 class LeaseNode:
     """The acceptors and proposers of member ``me``.
 
-    ``sets``: sizes of the declared sets to go by, the newest last. ``names``: the leases of the fleet, the same on
-    every member. ``hint`` is where rounds begin, such as the time of day in ms: only a start for numbers that are
-    to rise, nothing is safe because of it. ``note`` is called with each event: hold, lost, released.
+    ``sets`` are the sizes of the binding declared sets, the newest last. ``names`` are the leases of the fleet, the
+    same on every member. ``initial_round`` is where rounds begin, such as the time of day in ms: it only helps rounds
+    to rise over restarts, and safety does not depend on it. ``note`` is called with each event: hold, lost, released.
     """
 
     me: str
@@ -59,55 +59,60 @@
     names: tuple[str, ...]
     now_ms: float
     incarnation: int
-    hint: int = 0
+    initial_round: int = 0
     tuning: LeaseTuning = field(default_factory=LeaseTuning)
     rng: random.Random = field(default_factory=lambda: random.Random(0))
-    note: Note = _silent
+    note: NoteCallback = _ignore_event
 
     def __post_init__(self) -> None:
-        """Empty acceptors, which keep quiet for the longest lease time with its drift, and idle proposers."""
+        """Create idle proposers, and empty acceptors that refuse requests for the longest lease time plus drift."""
         tuning = self.tuning
         self.quiet_until_ms = self.now_ms + tuning.longest_ms * (1.0 + tuning.drift)
         self.acceptors = {
-            name: Acceptor(name, tuning, self.quiet_until_ms, self.sets, self.hint) for name in self.names
+            name: Acceptor(name, tuning, self.quiet_until_ms, self.sets, self.initial_round) for name in self.names
         }
         self.proposers = {
-            name: Proposer(self.me, self.incarnation, name, tuning, self.sets, highest=self.hint)
+            name: Proposer(self.me, self.incarnation, name, tuning, self.sets, highest=self.initial_round)
             for name in self.names
         }
         self.wanted: set[str] = set()
         self.counts: dict[str, int] = {}
-        self._due_ms: dict[str, float] = {}  # by name wanted: when to attempt, extend or resend
-        self._resend_wait_ms: dict[str, float] = {}  # by name wanted: the wait before the next resend
-        self._failed_attempts: dict[str, int] = {}  # by name wanted: failures one after another
-        self._last_holder: dict[str, str] = {}  # by name: the last holder known of
-        self._rankings: dict[tuple[str, int], list[str]] = {}  # by name and size of the set: members in their order
-        self._overheard_until_ms: dict[str, float] = {}  # by name: until when a lease another proposed may last
-        self._tenures: dict[str, _Tenure] = {}  # by name held: as last noted
+        self._next_action_ms: dict[str, float] = {}  # by wanted name: when to attempt, extend or resend
+        self._resend_wait_ms: dict[str, float] = {}  # by wanted name: the wait before the next resend
+        self._failed_attempts: dict[str, int] = {}  # by wanted name: consecutive failures
+        self._last_holder: dict[str, str] = {}  # by name: the last known holder
+        self._rankings: dict[tuple[str, int], list[str]] = {}  # by name and set size: the ranked members
+        self._others_lease_until_ms: dict[
+            str, float
+        ] = {}  # by name: when a lease that another member proposed may end
+        self._tenures: dict[str, _Tenure] = {}  # by held name: the tenure as last noted
 
     # Queries -----------------------------------------------------------------------------------------------
 
-    def held(self, name: str, now_ms: float) -> int | None:
-        """The guard: the token if the lease is held for another margin, by the clock as it is *now*."""
+    def held_token(self, name: str, now_ms: float) -> int | None:
+        """Return the fencing token if the lease is held for at least the margin from ``now_ms``, otherwise None.
+
+        This is the check before each act, so ``now_ms`` must be the present time.
+        """
         proposer = self.proposers.get(name)
-        return proposer.held(now_ms) if proposer else None
+        return proposer.held_token(now_ms) if proposer else None
 
     def holder(self, name: str, now_ms: float) -> str:
-        """Whose lease this member's acceptor knows to be in force; "" if none."""
-        return self.ballot(name, now_ms)[0]
+        """Return the member whose lease is in force at this member's acceptor, or "" if there is none."""
+        return self.holder_and_round(name, now_ms)[0]
 
-    def ballot(self, name: str, now_ms: float) -> tuple[str, int]:
-        """The holder that this member's acceptor knows, with its ballot's round; ("", 0) if none."""
+    def holder_and_round(self, name: str, now_ms: float) -> tuple[str, int]:
+        """Return the holder known to this member's acceptor and the round of its ballot; ("", 0) if there is none."""
         acceptor = self.acceptors.get(name)
-        ballot = acceptor.in_force(now_ms) if acceptor else None
+        ballot = acceptor.ballot_in_force(now_ms) if acceptor else None
         return (ballot.member, ballot.round) if ballot else ("", 0)
 
     def state(self, now_ms: float) -> dict[str, dict[str, object]]:
-        """By name, for operators: wanted, held, token, the holder known of, ms left, sets gone by."""
+        """Return the state of each lease by name, for the operators' page; times in ms."""
         return {
             name: {
                 "wanted": name in self.wanted,
-                "held": proposer.held(now_ms) is not None,
+                "held": proposer.held_token(now_ms) is not None,
                 "token": proposer.token,
                 "holder": self.holder(name, now_ms),
                 "left_ms": max(0.0, proposer.deadline_ms - now_ms),
@@ -120,109 +125,112 @@
     # Commands ----------------------------------------------------------------------------------------------
 
     def want(self, name: str, now_ms: float) -> None:
-        """Contend for ``name`` from now on; a name not given at the start is ignored."""
+        """Contend for the lease ``name`` from now on. A name not given at the start is ignored."""
         if name in self.proposers and name not in self.wanted:
             self.wanted.add(name)
-            self._due_ms[name] = now_ms + self._turn_ms(name)
+            self._next_action_ms[name] = now_ms + self._turn_delay_ms(name)
 
-    def release(self, name: str, now_ms: float) -> Out:
-        """Want it no longer, and release it if it is held."""
+    def release(self, name: str, now_ms: float) -> OutgoingMessages:
+        """Stop contending for the lease ``name``, and release it if it is held."""
         self.wanted.discard(name)
-        self._due_ms.pop(name, None)
+        self._next_action_ms.pop(name, None)
         if name not in self.proposers:
             return []
         if name in self._tenures:
             self._end_tenure(name, "released")
-        return self._route(now_ms, self.proposers[name].release())
+        return self._deliver_to_self(now_ms, self.proposers[name].release())
 
     def observe_token(self, name: str, token: int) -> None:
-        """Another member has seen ``token``. Who holds under a lower one (the whole fleet has restarted, and its
-        clocks were set back) can act no more: rounds go on above it, and the lease is taken anew."""
+        """Record that another member has seen ``token``.
+
+        A holder under a lower token can't act any more. This happens if the whole fleet has restarted and its clocks
+        were set back. The rounds continue above ``token``, and the lease is taken anew.
+        """
         proposer = self.proposers.get(name)
         if proposer is None:
             return
         proposer.highest = max(proposer.highest, token)
         if 0 < proposer.token < token:
-            proposer.outbid = True
+            proposer.is_outbid = True
             proposer.token = 0
             proposer.deadline_ms = 0.0
 
-    def declare(self, size: int) -> None:
-        """The declared set is another from now on; what is held stays so, and is extended by both sets."""
+    def set_declared_size(self, size: int) -> None:
+        """Change the declared set to ``size`` members. A held lease stays held, and is extended by both sets."""
         self.sets = (size,)
         for name in self.names:
-            self.proposers[name].bind((size,))
+            self.proposers[name].add_sets((size,))
             self.acceptors[name].sets = self.proposers[name].sets
         for name in self.wanted:
-            self._due_ms[name] = 0.0
+            self._next_action_ms[name] = 0.0
 
     # Time passing ------------------------------------------------------------------------------------------
 
-    def tick(self, now_ms: float) -> Out:
-        """Attempt, extend and resend whatever is due; the messages to send."""
+    def tick(self, now_ms: float) -> OutgoingMessages:
+        """Attempt, extend and resend whatever is due. Return the messages to send."""
         self.now_ms = now_ms
-        out: Out = []
+        out: OutgoingMessages = []
         for name in sorted(self.wanted | set(self._tenures)):
-            out += self._step(now_ms, name)
+            out += self._step_lease(now_ms, name)
         return out
 
-    def _step(self, now_ms: float, name: str) -> Out:
+    def _step_lease(self, now_ms: float, name: str) -> OutgoingMessages:
         proposer = self.proposers[name]
         if name in self._tenures and now_ms >= proposer.deadline_ms:
             proposer.deadline_ms = 0.0
             proposer.token = 0
             self._end_tenure(name, "lost")
-        if name not in self.wanted or now_ms < self._due_ms.get(name, 0.0):
+        if name not in self.wanted or now_ms < self._next_action_ms.get(name, 0.0):
             return []
-        if proposer.attempting:
+        if proposer.is_attempting:
             if self._may_succeed(now_ms, proposer):
                 return self._resend(now_ms, proposer)
             if self._attempt_failed(now_ms, proposer):
-                return self._route(now_ms, proposer.release())
-        return self._attempt(now_ms, proposer)
+                return self._deliver_to_self(now_ms, proposer.release())
+        return self._extend_or_attempt(now_ms, proposer)
 
     def _may_succeed(self, now_ms: float, proposer: Proposer) -> bool:
-        in_time = now_ms - proposer.attempt_began_ms < self.tuning.attempt_ms
-        return in_time and (proposer.deadline_ms > now_ms or not proposer.quorum_refused())
+        is_in_time = now_ms - proposer.attempt_began_ms < self.tuning.attempt_ms
+        return is_in_time and (proposer.deadline_ms > now_ms or not proposer.is_quorum_refused())
 
-    def _resend(self, now_ms: float, proposer: Proposer) -> Out:
+    def _resend(self, now_ms: float, proposer: Proposer) -> OutgoingMessages:
         name = proposer.name
         self._resend_wait_ms[name] *= RESEND_BACKOFF
-        self._due_ms[name] = now_ms + self._resend_wait_ms[name]
-        return self._route(now_ms, proposer.resend(now_ms))
+        self._next_action_ms[name] = now_ms + self._resend_wait_ms[name]
+        return self._deliver_to_self(now_ms, proposer.resend(now_ms))
 
     def _attempt_failed(self, now_ms: float, proposer: Proposer) -> bool:
-        """Count the failure; whether to back off (``True``: the next attempt's time is set) or to retry at once."""
+        """Count the failure. Return True to back off (the next attempt is scheduled), False to retry at once."""
         name = proposer.name
         self._count(f"{name}.refused")
         failures = self._failed_attempts[name] = self._failed_attempts.get(name, 0) + 1
         if proposer.deadline_ms > now_ms:
-            proposer.give_up()
+            proposer.abandon_attempt()
             return False
-        blocked = bool(proposer.blocking_holder)
-        if proposer.outbid and not blocked and not proposer.proposing and failures <= MOST_QUICK_RETRIES:
-            return False  # its round was too low, and it knows the higher one now
-        # Where there is a holder that our own acceptor does not know of, there is no hurry.
-        backoff_ms = self.rng.uniform(*BLOCKED_BACKOFF) * self.tuning.lease_ms if blocked else 0.0
-        self._due_ms[name] = now_ms + backoff_ms + self._turn_ms(name)
+        is_blocked = bool(proposer.blocking_holder)
+        if proposer.is_outbid and not is_blocked and not proposer.is_proposing and failures <= MAX_IMMEDIATE_RETRIES:
+            return False  # the round was too low, and the proposer knows the higher one now
+        # A wait is harmless if there is a holder that this member's acceptor does not know of.
+        backoff_ms = self.rng.uniform(*BLOCKED_BACKOFF) * self.tuning.lease_ms if is_blocked else 0.0
+        self._next_action_ms[name] = now_ms + backoff_ms + self._turn_delay_ms(name)
         return True
 
-    def _attempt(self, now_ms: float, proposer: Proposer) -> Out:
-        """Extend what is held, or begin a new ballot unless that has to wait."""
+    def _extend_or_attempt(self, now_ms: float, proposer: Proposer) -> OutgoingMessages:
+        """Extend a held lease, or start an attempt unless that has to wait."""
         name = proposer.name
         acceptor = self.acceptors[name]
-        holding = proposer.deadline_ms > now_ms
-        earliest_ms = 0.0 if holding else self._earliest_attempt_ms(now_ms, acceptor)
+        is_holder = proposer.deadline_ms > now_ms
+        earliest_ms = 0.0 if is_holder else self._earliest_attempt_ms(now_ms, acceptor)
         if earliest_ms > now_ms:
-            self._due_ms[name] = earliest_ms + self._turn_ms(name)
+            self._next_action_ms[name] = earliest_ms + self._turn_delay_ms(name)
             return []
         proposer.highest = max(proposer.highest, acceptor.highest)
         self._resend_wait_ms[name] = self.tuning.resend_ms
-        self._due_ms[name] = now_ms + self.tuning.resend_ms
-        return self._route(now_ms, proposer.renew(now_ms) if holding else proposer.begin(now_ms))
+        self._next_action_ms[name] = now_ms + self.tuning.resend_ms
+        return self._deliver_to_self(now_ms, proposer.renew(now_ms) if is_holder else proposer.start_attempt(now_ms))
 
-    def _turn_ms(self, name: str) -> float:
-        """How long after a lease is free this member begins (ms)."""
+    def _turn_delay_ms(self, name: str) -> float:
+        """Return how long this member waits after the lease has become free before it starts an attempt (ms)."""
         size = self.sets[-1]
         ranking = self._ranking(name, size)
         last = self._last_holder.get(name, ranking[-1])
@@ -231,7 +239,7 @@
         return (rank + self.rng.uniform(0.0, RANK_JITTER)) * self.tuning.stagger_ms
 
     def _ranking(self, name: str, size: int) -> list[str]:
-        """The members of the set of ``size`` in their order for ``name``, the same at every member; cached."""
+        """Return the members of the set of ``size`` as ranked for ``name``, the same on every member. Cached."""
         ranking = self._rankings.get((name, size))
         if ranking is None:
             members = [f"d{n}" for n in range(size)]
@@ -241,58 +249,61 @@
         return ranking
 
     def _earliest_attempt_ms(self, now_ms: float, acceptor: Acceptor) -> float:
-        """Until when an attempt would be in vain, or would only disturb another's."""
+        """Return the time until which an attempt would fail, or would only disturb that of another member."""
         if now_ms < acceptor.quiet_until_ms:
             return acceptor.quiet_until_ms
-        if acceptor.in_force(now_ms) is not None:
-            return acceptor.until_ms
-        overheard = self._overheard_until_ms.get(acceptor.name, 0.0)
-        if overheard > now_ms:
-            return overheard
-        promised_other = acceptor.promised is not None and acceptor.promised.member != self.me
-        return acceptor.promised_ms + self.tuning.sticky_ms if promised_other else 0.0
+        if acceptor.ballot_in_force(now_ms) is not None:
+            return acceptor.lease_until_ms
+        others_lease_until_ms = self._others_lease_until_ms.get(acceptor.name, 0.0)
+        if others_lease_until_ms > now_ms:
+            return others_lease_until_ms
+        is_promised_to_other = acceptor.promised is not None and acceptor.promised.member != self.me
+        return acceptor.promised_at_ms + self.tuning.sticky_ms if is_promised_to_other else 0.0
 
     # Messages ----------------------------------------------------------------------------------------------
 
-    def receive(self, now_ms: float, sender: str, message: LeaseMessage) -> Out:
-        """Handle a message of another member; the messages to send. A name that is not known here is counted."""
+    def receive(self, now_ms: float, sender: str, message: LeaseMessage) -> OutgoingMessages:
+        """Handle a message of another member. Return the messages to send; an unknown lease name is counted."""
         self.now_ms = now_ms
         if message.name not in self.proposers:
             self._count("unknown_name")
             return []
-        return self._route(now_ms, self._handle(now_ms, sender, message))
+        return self._deliver_to_self(now_ms, self._handle(now_ms, sender, message))
 
-    def _handle(self, now_ms: float, sender: str, message: LeaseMessage) -> Out:
+    def _handle(self, now_ms: float, sender: str, message: LeaseMessage) -> OutgoingMessages:
         if message.kind not in REQUEST_KINDS:
             out = self.proposers[message.name].receive(now_ms, sender, message)
             self._record_tenure(now_ms, message.name)
             return out
         acceptor = self.acceptors[message.name]
-        was_in_force = acceptor.in_force(now_ms) is not None
-        reply = acceptor.answer(now_ms, sender, message)
-        freed = was_in_force and acceptor.in_force(now_ms) is None
-        self._overhear(now_ms, sender, message, freed)
-        return [Outgoing(sender, reply)] if reply else []
-
-    def _overhear(self, now_ms: float, sender: str, message: LeaseMessage, freed: bool) -> None:
-        """Others' requests show which rounds are used up, and who may hold: worth knowing, never relied on."""
+        was_in_force = acceptor.ballot_in_force(now_ms) is not None
+        reply = acceptor.handle_request(now_ms, sender, message)
+        is_freed = was_in_force and acceptor.ballot_in_force(now_ms) is None
+        self._learn_from_request(now_ms, sender, message, is_freed)
+        return [OutgoingMessage(sender, reply)] if reply else []
+
+    def _learn_from_request(self, now_ms: float, sender: str, message: LeaseMessage, is_freed: bool) -> None:
+        """Learn from another member's request which rounds are used up and who may hold the lease.
+
+        This speeds up progress; safety never depends on it.
+        """
         if sender == self.me:
             return
         name = message.name
         proposer = self.proposers[name]
         proposer.highest = max(proposer.highest, message.round)
-        if message.kind is Kind.PROPOSE:
+        if message.kind is LeaseMessageKind.PROPOSE:
             self._last_holder[name] = sender
-            self._overheard_until_ms[name] = now_ms + min(message.lease_ms, self.tuning.longest_ms)
-        elif freed:
-            self._overheard_until_ms.pop(name, None)
+            self._others_lease_until_ms[name] = now_ms + min(message.lease_ms, self.tuning.longest_ms)
+        elif is_freed:
+            self._others_lease_until_ms.pop(name, None)
             if name in self.wanted:
-                self._due_ms[name] = now_ms + self._turn_ms(name)
+                self._next_action_ms[name] = now_ms + self._turn_delay_ms(name)
 
-    def _route(self, now_ms: float, out: Iterable[Outgoing]) -> Out:
-        """Messages to this member itself are handled at once; the rest is to be sent."""
+    def _deliver_to_self(self, now_ms: float, out: Iterable[OutgoingMessage]) -> OutgoingMessages:
+        """Handle the messages to this member itself at once. Return those to send to others."""
         pending = deque(out)
-        remote: Out = []
+        remote: OutgoingMessages = []
         while pending:
             outgoing = pending.popleft()
             if outgoing.to == self.me:
@@ -302,7 +313,7 @@
         return remote
 
     def _record_tenure(self, now_ms: float, name: str) -> None:
-        """Note a lease that was just taken or extended, and set when to extend it."""
+        """Note the tenure if the lease was just taken or extended, and schedule the next extension."""
         proposer = self.proposers[name]
         tenure = _Tenure(proposer.token, proposer.deadline_ms)
         if tenure.deadline_ms <= now_ms or self._tenures.get(name) == tenure:
@@ -311,7 +322,7 @@
             self._count(f"{name}.held")
             self._last_holder[name] = self.me
         self._tenures[name] = tenure
-        self._due_ms[name] = proposer.began_ms + self.tuning.lease_ms / RENEWALS_PER_LEASE
+        self._next_action_ms[name] = proposer.proposal_began_ms + self.tuning.lease_ms / RENEWALS_PER_LEASE
         self._failed_attempts.pop(name, None)
         valid_ms = tenure.deadline_ms - self.tuning.margin_ms
         self.note("hold", name=name, token=tenure.token, until=tenure.deadline_ms, valid=valid_ms)
@@ -321,5 +332,5 @@
         self._count(f"{name}.{how}")
         self.note(how, name=name, token=tenure.token)
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, counter: str) -> None:
+        self.counts[counter] = self.counts.get(counter, 0) + 1
--- a/beechslip/leases/stored.py
+++ b/beechslip/leases/stored.py
@@ -1,15 +1,17 @@
-"""The same leases over a store of record, for installations that have one: conditional writes, no clocks compared.
+"""Leases in a store of record, for installations that have one: conditional writes, and no comparison of clocks.
 
-A row a lease: holder, token, beat (heartbeat number), and how long it lasts. A holder raises its beat; a contender
-that has seen one (token, beat) for that time or its own longest, and the drift, by its own clock, may take the row by
-a write that requires both unchanged, and raises the token. The holder's timer starts before its write is sent, and
-counts only once its answer is here:
+There is one row for each lease, with its holder, token, beat (heartbeat number) and duration. A holder raises the
+beat with each extension. A contender may take the row if, by its own clock, (token, beat) has not changed for the
+duration in the row, or for its own longest lease time if that is longer, plus drift. It takes the row by a write that
+requires both to be unchanged, and raises the token. The holder's timer starts before its write is sent, and the lease
+counts as held only when the answer has arrived:
 
-- a write whose answer was lost counts as not done. The row is read anew, and if it is this holder's it is
-  extended like any other, with a timer started then;
-- a store that can't be reached, or is full, extends nothing: the lease ends by the holder's own clock.
+- A write whose answer was lost counts as not done. The row is read again, and if it is this holder's it is extended
+  like any other, with a timer started then.
+- If the store can't be reached, or is full, nothing is extended: the lease ends by the holder's own clock.
 
-Tokens live in the store, so they rise for good. :class:`Leases` is what tasks need of either kind.
+Tokens are kept in the store, so they rise even over restarts. :class:`LeaseProvider` is the interface that tasks use
+for either kind of lease.
 """
 
 from __future__ import annotations
@@ -22,52 +24,55 @@
 from beechslip.leases.paxos import LeaseTuning
 from beechslip.store import Rows, StoreError
 
-CREATE_TABLE = """CREATE TABLE IF NOT EXISTS leases (
+CREATE_LEASES_TABLE = """CREATE TABLE IF NOT EXISTS leases (
     name TEXT PRIMARY KEY, holder TEXT NOT NULL, token BIGINT NOT NULL, beat BIGINT NOT NULL,
     lasts_ms DOUBLE PRECISION NOT NULL DEFAULT 0)"""
-CHECK_COLUMN = "SELECT lasts_ms FROM leases LIMIT 0"
-ADD_COLUMN = (
-    "ALTER TABLE leases ADD COLUMN lasts_ms DOUBLE PRECISION NOT NULL DEFAULT 0"  # an earlier version's lacks it
+CHECK_DURATION_COLUMN = "SELECT lasts_ms FROM leases LIMIT 0"
+ADD_DURATION_COLUMN = (
+    "ALTER TABLE leases ADD COLUMN lasts_ms DOUBLE PRECISION NOT NULL DEFAULT 0"  # for a table of an earlier version
 )
-SELECT_ALL = "SELECT name, holder, token, beat, lasts_ms FROM leases"
-INSERT = (
+SELECT_LEASES = "SELECT name, holder, token, beat, lasts_ms FROM leases"
+INSERT_LEASE = (
     "INSERT INTO leases (name, holder, token, beat, lasts_ms) VALUES (:name, :holder, :token, :beat, :lasts_ms) "
     "ON CONFLICT (name) DO NOTHING RETURNING token"
 )
-UPDATE = (
+UPDATE_LEASE = (
     "UPDATE leases SET holder = :holder, token = :token, beat = :beat, lasts_ms = :lasts_ms "
     "WHERE name = :name AND token = :was_token AND beat = :was_beat RETURNING token"
 )
-RELEASE = (
+RELEASE_LEASE = (
     "UPDATE leases SET holder = :free WHERE name = :name AND holder = :holder AND token = :token RETURNING token"
 )
-NOBODY = ""  # the holder in the row of a lease that was released
+NOBODY = ""  # holder in the row of a released lease
 
 RENEWALS_PER_LEASE = 3.0  # a holder extends after the lease time divided by this,
 RENEWAL_JITTER = (0.9, 1.0)  # times a random factor within these bounds
 
 
-class Leases(Protocol):
-    """Named leases, of the fleet's proxies themselves or of a store of record."""
+class LeaseProvider(Protocol):
+    """Named leases, held among the proxies of the fleet or in a store of record."""
 
     me: str
     now_ms: float
 
     def want(self, name: str, now_ms: float) -> None:
-        """Contend for ``name`` from now on."""
+        """Contend for the lease ``name`` from now on."""
         ...
 
-    def held(self, name: str, now_ms: float) -> int | None:
-        """The guard: the fencing token, if the lease is held for another margin."""
+    def held_token(self, name: str, now_ms: float) -> int | None:
+        """Return the fencing token if the lease is held for at least the margin, otherwise None.
+
+        This is the check before each act.
+        """
         ...
 
     def observe_token(self, name: str, token: int) -> None:
-        """Another member has seen ``token``: a lease under a lower one ends, and the next is above it."""
+        """Record that another member has seen ``token``: end a lease with a lower one, and take the next above it."""
         ...
 
 
-class _Version(NamedTuple):
-    """What identifies one state of a row: a holder changes ``beat`` with each extension."""
+class _RowVersion(NamedTuple):
+    """Identifies one state of a row: the holder changes ``beat`` with each extension."""
 
     holder: str
     token: int
@@ -75,18 +80,20 @@
 
 
 @dataclass(slots=True)
-class _Lease:
-    seen: _Version | None = None  # the row as last read
-    since_ms: float = 0.0  # when this version was first seen
+class _LeaseState:
+    row_version: _RowVersion | None = None  # the state of the row as last read
+    unchanged_since_ms: float = 0.0  # when this state was first read
     token: int = 0
     deadline_ms: float = 0.0  # 0: not held
-    next_ms: float = 0.0  # when to look at the row again
-    least_token: int = 0  # a token that another member has seen
+    next_check_ms: float = 0.0  # when to read the row again
+    min_token: int = 0  # the highest token that another member has seen
 
 
 @dataclass
 class StoredLeases:
-    """The leases of one holder, ``me`` with its incarnation, in the store behind ``rows``. Calls block as it does.
+    """The leases of one holder (``me`` in its incarnation) in a store, read and written by ``rows``.
+
+    Calls block as long as the store does.
 
     ``note`` is called with each event: hold, lost, released; ``counts`` counts held, lost, released, refused and
     store_failed.
@@ -101,118 +108,127 @@
     note: Callable[..., None] = lambda kind, **facts: None
 
     def __post_init__(self) -> None:
-        """Hold and want nothing; the table is made with the first :meth:`tick` that has a lease to look at."""
+        """Start with no lease. The table is created by the first :meth:`tick` that has a lease to look at."""
         self.now_ms = self.clock()
         self.counts: dict[str, int] = {}
-        self._leases: dict[str, _Lease] = {}
-        self._table_ready = False
+        self._leases: dict[str, _LeaseState] = {}
+        self._is_table_ready = False
 
     @property
     def holder(self) -> str:
-        """This holder as rows name it: the member and its incarnation."""
+        """The name of this holder in the rows: the member and its incarnation."""
         return f"{self.me}/{self.incarnation}"
 
     def want(self, name: str, now_ms: float) -> None:
-        """Contend for ``name`` from the next :meth:`tick` at ``now_ms`` or later."""
-        self._leases.setdefault(name, _Lease(next_ms=now_ms))
+        """Contend for the lease ``name`` from the next :meth:`tick` at ``now_ms`` or later."""
+        self._leases.setdefault(name, _LeaseState(next_check_ms=now_ms))
+
+    def held_token(self, name: str, now_ms: float) -> int | None:
+        """Return the fencing token if the lease is held for at least the margin, otherwise None.
 
-    def held(self, name: str, now_ms: float) -> int | None:
-        """The guard: the fencing token, if the lease is held for another margin."""
+        This is the check before each act.
+        """
         lease = self._leases.get(name)
         return lease.token if lease and now_ms < lease.deadline_ms - self.tuning.margin_ms else None
 
     def last_holder(self, name: str) -> str:
-        """Who holds it by the row as it was last read; "" if nobody, or it was not read yet."""
+        """Return the holder in the row as last read; "" if there is none, or the row has not been read yet."""
         lease = self._leases.get(name)
-        return lease.seen.holder if lease is not None and lease.seen is not None else NOBODY
+        return lease.row_version.holder if lease is not None and lease.row_version is not None else NOBODY
 
     def observe_token(self, name: str, token: int) -> None:
-        """Another member has seen ``token``: a lease under a lower one ends, and the next is above it."""
+        """Record that another member has seen ``token``: end a lease with a lower one, and take the next above it."""
         lease = self._leases.get(name)
         if lease is None:
             return
-        lease.least_token = max(lease.least_token, token)
+        lease.min_token = max(lease.min_token, token)
         if lease.token < token and lease.deadline_ms:
             self._end_tenure(name, lease, "lost")
 
     def release(self, name: str) -> None:
-        """Hold and want it no longer, from before the store is written; on StoreError the row is left to expire."""
+        """Stop contending for the lease and end a tenure, before the store is written.
+
+        On StoreError the row is left to expire.
+        """
         lease = self._leases.pop(name, None)
         if lease is None or not lease.deadline_ms:
             return
         token = lease.token
         self._end_tenure(name, lease, "released")
-        self.rows.run(RELEASE, free=NOBODY, name=name, holder=self.holder, token=token)
+        self.rows.run(RELEASE_LEASE, free=NOBODY, name=name, holder=self.holder, token=token)
 
     def tick(self) -> None:
-        """Extend, take or look at each lease that is due. Never raises: a store that fails is counted."""
+        """Extend, take or check each lease that is due. A failure of the store is counted and not raised."""
         now_ms = self.now_ms = self.clock()
         due = self._due(now_ms)
         if not due:
             return
         try:
-            if not self._table_ready:
+            if not self._is_table_ready:
                 self.prepare_table()
-            # One statement for all, however many: a slow store must not cost a lease for each that is looked at.
-            rows = self.rows.run(SELECT_ALL)
+            # One statement reads all leases: with one for each, a slow store could make held leases expire.
+            rows = self.rows.run(SELECT_LEASES)
         except StoreError:
             self._count("store_failed")
             return
-        read_ms = self.clock()  # after the answer: what it says was so before
+        read_ms = self.clock()  # read after the answer: the rows are at least that old
         by_name = {str(row[0]): row[1:] for row in rows}
         for name, lease in due:
             try:
-                self._step(name, lease, by_name.get(name), read_ms)
+                self._step_lease(name, lease, by_name.get(name), read_ms)
             except StoreError:
                 self._count("store_failed")
 
-    def _due(self, now_ms: float) -> list[tuple[str, _Lease]]:
-        """The leases to look at now; those whose deadline has passed end here."""
+    def _due(self, now_ms: float) -> list[tuple[str, _LeaseState]]:
+        """Return the leases to look at now. End the tenures whose deadline has passed."""
         due = []
         for name, lease in list(self._leases.items()):
             if lease.deadline_ms and now_ms >= lease.deadline_ms:
                 self._end_tenure(name, lease, "lost")
-            if now_ms >= lease.next_ms:
-                lease.next_ms = now_ms + self.tuning.resend_ms
+            if now_ms >= lease.next_check_ms:
+                lease.next_check_ms = now_ms + self.tuning.resend_ms
                 due.append((name, lease))
         return due
 
     def prepare_table(self) -> None:
-        """Create the table, or add the column that an earlier version's lacks; StoreError if it can't be."""
-        self.rows.run(CREATE_TABLE)
+        """Create the table, or add the column that an earlier version's table lacks. Raise StoreError on failure."""
+        self.rows.run(CREATE_LEASES_TABLE)
         try:
-            self.rows.run(CHECK_COLUMN)
+            self.rows.run(CHECK_DURATION_COLUMN)
         except StoreError:
-            self.rows.run(ADD_COLUMN)
-        self._table_ready = True
+            self.rows.run(ADD_DURATION_COLUMN)
+        self._is_table_ready = True
 
-    def _step(self, name: str, lease: _Lease, row: Sequence[Any] | None, read_ms: float) -> None:
+    def _step_lease(self, name: str, lease: _LeaseState, row: Sequence[Any] | None, read_ms: float) -> None:
         """Write the row if it is free, expired or this holder's own."""
-        start_ms = self.clock()  # before the write: its timer runs from here
+        start_ms = self.clock()  # the timer starts before the write
         if row is None:
-            self._write(name, lease, _Version(self.holder, 1, 0), start_ms, INSERT, {})
+            self._write(name, lease, _RowVersion(self.holder, 1, 0), start_ms, INSERT_LEASE, {})
             return
-        seen = _Version(str(row[0]), int(row[1]), int(row[2]))
-        if seen != lease.seen:
-            lease.seen = seen
-            lease.since_ms = read_ms
-        own = seen.holder == self.holder and seen.token > lease.least_token
+        seen = _RowVersion(str(row[0]), int(row[1]), int(row[2]))
+        if seen != lease.row_version:
+            lease.row_version = seen
+            lease.unchanged_since_ms = read_ms
+        own = seen.holder == self.holder and seen.token > lease.min_token
         if not own and seen.holder != NOBODY and not self._expired(lease, read_ms, float(row[3])):
             self._count("refused")
             return
-        token = seen.token if own else max(seen.token, lease.least_token) + 1
-        wanted = _Version(self.holder, token, seen.beat + 1)
-        self._write(name, lease, wanted, start_ms, UPDATE, {"was_token": seen.token, "was_beat": seen.beat})
+        token = seen.token if own else max(seen.token, lease.min_token) + 1
+        wanted = _RowVersion(self.holder, token, seen.beat + 1)
+        self._write(name, lease, wanted, start_ms, UPDATE_LEASE, {"was_token": seen.token, "was_beat": seen.beat})
 
-    def _expired(self, lease: _Lease, read_ms: float, lasts_ms: float) -> bool:
-        """Whether the row has been unchanged for as long as its holder may hold, by this clock with the drift."""
+    def _expired(self, lease: _LeaseState, read_ms: float, lasts_ms: float) -> bool:
+        """True if the row has been unchanged, by this clock and with drift, for as long as its holder may hold it."""
         longest_ms = max(self.tuning.longest_ms, lasts_ms)
-        return read_ms - lease.since_ms >= longest_ms * (1.0 + self.tuning.drift)
+        return read_ms - lease.unchanged_since_ms >= longest_ms * (1.0 + self.tuning.drift)
 
     def _write(
-        self, name: str, lease: _Lease, wanted: _Version, start_ms: float, sql: str, condition: dict[str, Any]
+        self, name: str, lease: _LeaseState, wanted: _RowVersion, start_ms: float, sql: str, condition: dict[str, Any]
     ) -> None:
-        """Write ``wanted``; held if the condition was met. ``start_ms`` was before the write: the timer's start."""
+        """Write ``wanted``. The lease is held if the condition was met.
+
+        ``start_ms`` is a time before the write: the timer of the lease starts then.
+        """
         written = self.rows.run(
             sql,
             name=name,
@@ -224,8 +240,8 @@
         )
         if not written:
             return
-        lease.seen = wanted
-        lease.since_ms = start_ms
+        lease.row_version = wanted
+        lease.unchanged_since_ms = start_ms
         deadline_ms = start_ms + self.tuning.lease_ms
         if self.clock() >= deadline_ms:
             return
@@ -233,15 +249,15 @@
             self._count("held")
         lease.token = wanted.token
         lease.deadline_ms = deadline_ms
-        lease.next_ms = start_ms + self.tuning.lease_ms / RENEWALS_PER_LEASE * self.rng.uniform(*RENEWAL_JITTER)
+        lease.next_check_ms = start_ms + self.tuning.lease_ms / RENEWALS_PER_LEASE * self.rng.uniform(*RENEWAL_JITTER)
         valid_ms = deadline_ms - self.tuning.margin_ms
         self.note("hold", name=name, token=wanted.token, until=deadline_ms, valid=valid_ms)
 
-    def _end_tenure(self, name: str, lease: _Lease, how: str) -> None:
+    def _end_tenure(self, name: str, lease: _LeaseState, how: str) -> None:
         self.note(how, name=name, token=lease.token)
         self._count(how)
         lease.token = 0
         lease.deadline_ms = 0.0
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, counter: str) -> None:
+        self.counts[counter] = self.counts.get(counter, 0) + 1
--- a/beechslip/leases/tasks.py
+++ b/beechslip/leases/tasks.py
@@ -1,10 +1,11 @@
-"""Tasks that one proxy does for the fleet: each step under the task's lease, each act with its token. Pure.
+"""Fleet-wide tasks, done by one proxy: each step under the lease of the task, each act with its token. No I/O.
 
-A task is cut into steps (:meth:`Task.step`); the lease is checked right before each. An act that takes long goes
-out later than its check, which the margin covers and, past that, the fence at whoever receives it.
+A task consists of steps (:meth:`Task.step`), and the lease is checked right before each step. An act that takes long
+is sent some time after this check. The margin of the lease covers that time; beyond the margin, the fence of the
+receiver refuses the act.
 
-Two tasks: the census (:mod:`.census`), and drills, which act without an effect so that operators and the lab
-can see who holds what.
+There are two kinds of task: the census (:mod:`.census`), and drills, whose acts have no effect and let operators and
+the lab see which member holds a lease.
 """
 
 from __future__ import annotations
@@ -13,117 +14,123 @@
 from typing import NamedTuple, Protocol
 
 from beechslip.leases.fence import Fence
-from beechslip.leases.messages import ActMessage, Verb
-from beechslip.leases.node import Note
-from beechslip.leases.stored import Leases
+from beechslip.leases.messages import ActMessage, ActMessageKind
+from beechslip.leases.node import NoteCallback
+from beechslip.leases.stored import LeaseProvider
 
 
 class OutgoingAct(NamedTuple):
-    """An act or an answer, and the member that it is to be sent to."""
+    """An act or an answer, and the member to send it to."""
 
     to: str
     act: ActMessage
 
 
-Acts = list[OutgoingAct]
+OutgoingActs = list[OutgoingAct]
 
 
 class Task(Protocol):
-    """Fleet-wide work named as its lease. Times are steady ms of this machine."""
+    """A fleet-wide task with the name of its lease. Times are in ms by the steady clock of this machine."""
 
     name: str
 
-    def step(self, now_ms: float, token: int) -> Acts:
-        """The next step, if one is due; called only while the lease is held."""
+    def step(self, now_ms: float, token: int) -> OutgoingActs:
+        """Do the next step if it is due, and return its acts. Called only while the lease is held."""
         ...
 
-    def answer(self, now_ms: float, sender: str, message: ActMessage) -> None:
-        """Handle another member's answer to an act of this one's."""
+    def handle_answer(self, now_ms: float, sender: str, message: ActMessage) -> None:
+        """Handle the answer of another member to an act of this one."""
         ...
 
-    def take(self, now_ms: float, sender: str, message: ActMessage) -> bytes:
-        """Carry out another's act, whose token has passed the fence; the body of the answer."""
+    def execute(self, now_ms: float, sender: str, message: ActMessage) -> bytes:
+        """Carry out an act of another member that has passed the fence. Return the body of the answer."""
         ...
 
 
 class _PendingAct(NamedTuple):
-    """An act checked against the lease and not yet sent."""
+    """An act that is not sent yet, and the time and token of the check of its lease."""
 
     checked_ms: float
     token: int
 
 
 class Drill:
-    """Every ``every_ms`` an act to all members, sent ``act_ms`` after the lease was checked: what stands
-    between a check and its act, made long enough to inject faults into. After ``acts`` acts the lease is released."""
+    """A task that sends an act without effect to all members every ``every_ms``.
+
+    Each act is sent ``act_ms`` after the check of the lease, so that faults can be injected in between. After
+    ``max_acts`` acts the lease is released.
+    """
 
     def __init__(
         self,
         name: str,
         me: str,
-        others: Callable[[], Sequence[str]],
+        other_members: Callable[[], Sequence[str]],
         every_ms: float,
         act_ms: float,
-        note: Note,
-        acts: int = 0,
+        note: NoteCallback,
+        max_acts: int = 0,
     ) -> None:
-        """``others`` gives the members to send to; ``acts`` 0: no limit; ``note`` is called with begin and effect."""
+        """``other_members`` returns the members to send to. ``max_acts`` 0 means no limit.
+
+        ``note`` is called with the events begin and effect.
+        """
         self.name = name
         self.me = me
         self.every_ms = every_ms
         self.act_ms = act_ms
-        self.acts = acts
-        self.done = 0  # acts of this tenure
-        self._others = others
+        self.max_acts = max_acts
+        self.acts_sent = 0  # in this tenure
+        self._other_members = other_members
         self._note = note
-        self._token = 0
+        self._tenure_token = 0
         self._seq = 0
         self._due_ms = 0.0
-        self._pending: _PendingAct | None = None
+        self._pending_act: _PendingAct | None = None
 
     @property
-    def over(self) -> bool:
-        """Whether this tenure has sent all its acts."""
-        return 0 < self.acts <= self.done
-
-    def step(self, now_ms: float, token: int) -> Acts:
-        """Begin an act if one is due; :meth:`effect` sends it later."""
-        if token != self._token:
-            self._token = token
-            self.done = 0
-        if self._pending is None and now_ms >= self._due_ms and not self.over:
+    def is_over(self) -> bool:
+        """True if all acts of this tenure have been sent."""
+        return 0 < self.max_acts <= self.acts_sent
+
+    def step(self, now_ms: float, token: int) -> OutgoingActs:
+        """Begin an act if one is due. :meth:`send_due_act` sends it later."""
+        if token != self._tenure_token:
+            self._tenure_token = token
+            self.acts_sent = 0
+        if self._pending_act is None and now_ms >= self._due_ms and not self.is_over:
             self._due_ms = now_ms + self.every_ms
-            self._pending = _PendingAct(now_ms, token)
+            self._pending_act = _PendingAct(now_ms, token)
             self._note("begin", name=self.name, token=token, checked=now_ms)
         return []
 
-    def effect(self, now_ms: float) -> Acts:
-        """The act that was begun, when its time has come: whatever has become of the lease meanwhile."""
-        pending = self._pending
-        if pending is None or now_ms < pending.checked_ms + self.act_ms:
+    def send_due_act(self, now_ms: float) -> OutgoingActs:
+        """Return the act that was begun if it is due to be sent, even if the lease has been lost meanwhile."""
+        pending_act = self._pending_act
+        if pending_act is None or now_ms < pending_act.checked_ms + self.act_ms:
             return []
-        self._pending = None
+        self._pending_act = None
         self._seq += 1
-        self.done += 1
-        self._note("effect", name=self.name, token=pending.token)
-        return [OutgoingAct(to, ActMessage(self.name, pending.token, self._seq)) for to in self._others()]
+        self.acts_sent += 1
+        self._note("effect", name=self.name, token=pending_act.token)
+        return [OutgoingAct(to, ActMessage(self.name, pending_act.token, self._seq)) for to in self._other_members()]
 
-    def answer(self, now_ms: float, sender: str, message: ActMessage) -> None:
-        """Answers to a drill have no meaning."""
+    def handle_answer(self, now_ms: float, sender: str, message: ActMessage) -> None:
+        """Ignore answers: those to a drill have no content."""
 
-    def take(self, now_ms: float, sender: str, message: ActMessage) -> bytes:
-        """A drill has no effect; the answer is empty."""
+    def execute(self, now_ms: float, sender: str, message: ActMessage) -> bytes:
+        """Do nothing, as a drill has no effect. The answer is empty."""
         return b""
 
 
 class TaskRunner:
-    """Contends for the lease of each task, steps those that are held, and is the fence for others' acts.
+    """Contends for the leases of the tasks, runs the tasks whose lease is held, and fences the acts of other members.
 
-    ``counts``: taken, refused and unknown (acts for a task that is off here).
+    ``counts`` counts acts: taken, refused, and unknown (of a task that is off here).
     """
 
-    def __init__(self, node: Leases, tasks: Sequence[Task], note: Note) -> None:
-        """``note`` is called with each act received: took or turned_down."""
+    def __init__(self, node: LeaseProvider, tasks: Sequence[Task], note: NoteCallback) -> None:
+        """``note`` is called for each act received, with the event took or turned_down."""
         self.node = node
         self.tasks = {task.name: task for task in tasks}
         self.fence = Fence()
@@ -132,51 +139,54 @@
         for name in self.tasks:
             node.want(name, node.now_ms)
 
-    def tick(self, now_ms: float, clock: Callable[[], float]) -> Acts:
-        """Steps and acts that are due; ``clock`` is read anew for each task, right before its step."""
-        acts: Acts = []
+    def tick(self, now_ms: float, clock: Callable[[], float]) -> OutgoingActs:
+        """Do the steps that are due and return their acts. ``clock`` is read again right before each task's step."""
+        acts: OutgoingActs = []
         for name, task in self.tasks.items():
             if isinstance(task, Drill):
-                acts += task.effect(now_ms)
+                acts += task.send_due_act(now_ms)
             now_ms = clock()
-            token = self.node.held(name, now_ms)
+            token = self.node.held_token(name, now_ms)
             if token is not None:
-                acts += self._fenced(name, task.step(now_ms, token))
+                acts += self._accepted_by_own_fence(name, task.step(now_ms, token))
         return acts
 
-    def over(self) -> list[str]:
-        """Tasks that are done for this tenure, whose lease may go to another."""
-        return [name for name, task in self.tasks.items() if isinstance(task, Drill) and task.over]
+    def finished_tasks(self) -> list[str]:
+        """Return the tasks that have finished for this tenure, so that another member may take their lease."""
+        return [name for name, task in self.tasks.items() if isinstance(task, Drill) and task.is_over]
 
-    def receive(self, now_ms: float, sender: str, message: ActMessage) -> Acts:
-        """Handle an act or an answer of another member; the answer to send, if any."""
+    def receive(self, now_ms: float, sender: str, message: ActMessage) -> OutgoingActs:
+        """Handle an act or an answer of another member. Return the answer to send, if any."""
         task = self.tasks.get(message.name)
         if task is None:
             self._count("unknown")
             return []
-        if message.verb is not Verb.ACT:
-            if message.verb is Verb.REFUSED:
+        if message.verb is not ActMessageKind.ACT:
+            if message.verb is ActMessageKind.REFUSED:
                 self.node.observe_token(message.name, message.token)
-            task.answer(now_ms, sender, message)
+            task.handle_answer(now_ms, sender, message)
             return []
-        if not self.fence.take(message.name, message.token, sender):
-            return [OutgoingAct(sender, self._refuse(sender, message))]
+        if not self.fence.accept(message.name, message.token, sender):
+            return [OutgoingAct(sender, self._refusal(sender, message))]
         self._count("taken")
         self._note("took", name=message.name, token=message.token, holder=sender)
-        body = task.take(now_ms, sender, message)
-        return [OutgoingAct(sender, ActMessage(message.name, message.token, message.seq, Verb.TAKEN, body))]
+        body = task.execute(now_ms, sender, message)
+        return [OutgoingAct(sender, ActMessage(message.name, message.token, message.seq, ActMessageKind.TAKEN, body))]
 
-    def _refuse(self, sender: str, message: ActMessage) -> ActMessage:
-        """Count and note an act that the fence has refused; the answer, with the highest token known."""
+    def _refusal(self, sender: str, message: ActMessage) -> ActMessage:
+        """Count and note an act that the fence refused. Return the answer, with the highest token known."""
         self._count("refused")
         self._note("turned_down", name=message.name, token=message.token, holder=sender)
         highest = self.fence.highest.get(message.name)
         token = highest.token if highest else message.token
-        return ActMessage(message.name, token, message.seq, Verb.REFUSED)
+        return ActMessage(message.name, token, message.seq, ActMessageKind.REFUSED)
+
+    def _accepted_by_own_fence(self, name: str, acts: OutgoingActs) -> OutgoingActs:
+        """Return those of this member's acts that its own fence accepts.
 
-    def _fenced(self, name: str, acts: Acts) -> Acts:
-        """This member's own fence rises with its acts, and drops those that it would refuse of another."""
-        return [outgoing for outgoing in acts if self.fence.take(name, outgoing.act.token, self.node.me)]
+        So the fence also records the tokens of this member, and drops acts that it would refuse from another one.
+        """
+        return [outgoing for outgoing in acts if self.fence.accept(name, outgoing.act.token, self.node.me)]
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, counter: str) -> None:
+        self.counts[counter] = self.counts.get(counter, 0) + 1
--- a/beechslip/peering.py
+++ b/beechslip/peering.py
@@ -14,9 +14,9 @@
 from beechslip.config import Config, ConfigError
 from beechslip.core.model import AttemptResult, Backend, HealthChecker
 from beechslip.duties.shared import DutyPart
-from beechslip.fleet.peers import Peers, member_name
+from beechslip.fleet.peers import PeerSocket, member_name
 from beechslip.fleet.settings import FleetConfig
-from beechslip.leases.messages import MOST_SETS
+from beechslip.leases.messages import MAX_MEMBER_SETS
 from beechslip.leases.part import LeasePart
 from beechslip.leases.settings import LeasesConfig, read_leases
 from beechslip.platform.history import History
@@ -48,7 +48,7 @@
 class Peering:
     """The peer socket, the health checker for the engine, and the parts that the fleet's file turns on."""
 
-    peers: Peers
+    peers: PeerSocket
     health_checker: HealthChecker
     leases: LeasePart | None
     history: History
@@ -70,7 +70,7 @@
         self._check_parts_unchanged(fleet, budgets, regions)
         if leases is not None:
             self._declare_members(fleet, leases)
-        self.peers.move(fleet.peers)
+        self.peers.set_peers(fleet.peers)
         if self.budgets is not None and budgets is not None and leases is not None:
             self.budgets.reload(budgets, settings, leases.sets[-1], previous_members(leases))
         if self.regions is not None and regions is not None and leases is not None:
@@ -102,9 +102,9 @@
             )
         if leases.sets[-1] == node.sets[-1]:
             return
-        if max(len(proposer.sets) for proposer in node.proposers.values()) >= MOST_SETS:
-            raise ConfigError(f"{fleet.file}: {MOST_SETS} changes of the declared set are under way")
-        node.declare(leases.sets[-1])
+        if max(len(proposer.sets) for proposer in node.proposers.values()) >= MAX_MEMBER_SETS:
+            raise ConfigError(f"{fleet.file}: {MAX_MEMBER_SETS} changes of the declared set are under way")
+        node.set_declared_size(leases.sets[-1])
 
     def pages(self) -> dict[str, Callable[[], Mapping[str, object]]]:
         """The operators' pages of the parts that are on, by path."""
@@ -116,7 +116,7 @@
         regions = self.regions
         if regions is None:
             return {}
-        return {"/regions": lambda given: regions.execute_command(given, self.peers.say)}
+        return {"/regions": lambda given: regions.execute_command(given, self.peers.send)}
 
     async def start(self) -> None:
         """Open the peer socket and start the parts."""
--- a/beechslip/peering_builder.py
+++ b/beechslip/peering_builder.py
@@ -22,7 +22,7 @@
 from beechslip.duties.shared import DutyPart, SharedHealthChecker
 from beechslip.duties.tuning import DutyTuning
 from beechslip.fleet.membership import Membership
-from beechslip.fleet.peers import Part, Peers, member_name
+from beechslip.fleet.peers import PeerPart, PeerSocket, member_name
 from beechslip.fleet.settings import FleetConfig
 from beechslip.leases.census import Census
 from beechslip.leases.node import LeaseNode
@@ -91,7 +91,7 @@
         self._incarnation = secrets.randbits(63)
         self._history = History(fleet.history, self._me, self._incarnation, clock, counters)
         self._health_checker: HealthChecker = client  # each part that takes part in health checks wraps it
-        self._parts: list[Part] = []
+        self._parts: list[PeerPart] = []
         self._peering: Peering  # set by ``build``; parts ask it for what changes while it runs
 
     def build(self) -> Peering:
@@ -109,7 +109,7 @@
             if regions is not None:
                 region_part = self._build_regions(regions, leases, lease_part.node, budget_part)
         duty_part = None if duties is None else self._build_duties(duties)
-        peers = Peers(
+        peers = PeerSocket(
             fleet.name,
             fleet.number,
             fleet.listen,
@@ -140,8 +140,8 @@
     def _build_leases(self, leases: LeasesConfig, names: tuple[str, ...]) -> LeasePart:
         """``names``: the leases of the other parts, which are wanted from the start on."""
         census = None
-        if leases.census_ms:
-            census = Census(self._me, self._other_members, self._version_and_digest, leases.census_ms)
+        if leases.census_interval_ms:
+            census = Census(self._me, self._other_members, self._version_and_digest, leases.census_interval_ms)
         tasks: list[Task] = [self._build_drill(leases, name) for name in leases.drills]
         if census is not None:
             tasks.append(census)
--- a/beechslip/proxy.py
+++ b/beechslip/proxy.py
@@ -16,7 +16,7 @@
 from beechslip.core.engine import Engine
 from beechslip.core.messages import EndpointListUpdate, PurgeReceived, SettingsChanged
 from beechslip.counters import Counters
-from beechslip.fleet.settings import read_fleet, refuse_old
+from beechslip.fleet.settings import read_fleet, refuse_old_settings_file
 from beechslip.platform.backends import BackendClient
 from beechslip.platform.changelog import ChangeLog
 from beechslip.platform.front import HttpFront
@@ -94,7 +94,7 @@
         settings = config.settings
         client = BackendClient(settings, config.sockets, self.clock, self.counters)
         sent_log = self._open_sent_log()
-        refuse_old(os.environ)
+        refuse_old_settings_file(os.environ)
 
         def post(message: object) -> None:
             engine.post(message)  # the engine is built after the parts that post to it
--- a/beechslip/regions/node.py
+++ b/beechslip/regions/node.py
@@ -134,7 +134,7 @@
         self._next_report_ms = now_ms + self.timing.report_interval_ms
         holder = self._leases.holder(LEASE, now_ms)
         report = self._make_report(now_ms)
-        if self._leases.held(LEASE, now_ms) is None:
+        if self._leases.held_token(LEASE, now_ms) is None:
             self._coordinator = None
             return [(holder, report)] if holder and holder != self.me else []
         self._reports.record(now_ms, self.me, report)
@@ -184,7 +184,7 @@
 
     def _coordinate(self, now_ms: float) -> Outgoing:
         """One round of the lease holder: begin the tenure, or make the order that is due and repeat the newest."""
-        token = self._leases.held(LEASE, now_ms)
+        token = self._leases.held_token(LEASE, now_ms)
         if token is None:
             return []
         if token != self._tenure_token:
@@ -232,7 +232,7 @@
 
     def _make_order(self, now_ms: float, changes: RegionTable) -> None:
         """Make and apply an order with ``changes``, if this proxy still holds the lease of its tenure."""
-        token = self._leases.held(LEASE, now_ms)
+        token = self._leases.held_token(LEASE, now_ms)
         if token is None or token != self._tenure_token or self._coordinator is None:
             return
         self._coordinator.apply(now_ms, changes)
@@ -285,7 +285,7 @@
         name = self.order.names.get(request.region)
         if name is None:
             return CommandOutcome.UNKNOWN
-        if self._coordinator is None or self._leases.held(LEASE, now_ms) != self._tenure_token:
+        if self._coordinator is None or self._leases.held_token(LEASE, now_ms) != self._tenure_token:
             return CommandOutcome.NOT_COORDINATOR
         standing = self._standing_requests.get(request.region)
         if standing is not None and standing.number == request.number:
--- a/beechslip/regions/node_types.py
+++ b/beechslip/regions/node_types.py
@@ -21,7 +21,7 @@
 class LeaseView(Protocol):
     """What is read of the leases; :class:`beechslip.leases.node.LeaseNode` provides it."""
 
-    def held(self, name: str, now_ms: float) -> int | None:
+    def held_token(self, name: str, now_ms: float) -> int | None:
         """The token of the lease ``name`` while this proxy holds it, else ``None``."""
 
     def holder(self, name: str, now_ms: float) -> str:
--- a/beechslip/regions/part.py
+++ b/beechslip/regions/part.py
@@ -11,7 +11,7 @@
 from beechslip.core.model import AttemptRequest, AttemptResult, Backend
 from beechslip.counters import Counters
 from beechslip.fleet.codec import CodecError
-from beechslip.fleet.messages import Message, Send
+from beechslip.fleet.messages import OutgoingDatagram, PeerMessage
 from beechslip.regions.failure_evidence import BACKEND_FAILURES, FILL_FAILURES
 from beechslip.regions.messages import CommandOutcome, OperatorResponse, decode_region, encode_region
 from beechslip.regions.node import RegionNode
@@ -65,7 +65,7 @@
 
     # Behind the peer socket --------------------------------------------------------------------------------
 
-    def tick(self, now_ms: float) -> list[Send]:
+    def tick(self, now_ms: float) -> list[OutgoingDatagram]:
         """Do what is due; the datagrams to send. An exhausted warm-up counts as a full link and prolongs a step."""
         for name, backend in self._backends.items():
             if self.warmup_exhausted(name) and (region := self.region_of(backend)):
@@ -74,7 +74,7 @@
         self._publish(now_ms)
         return sends
 
-    def receive(self, now_ms: float, message: Message) -> list[Send]:
+    def receive(self, now_ms: float, message: PeerMessage) -> list[OutgoingDatagram]:
         """Take a datagram; an order takes effect at once, not at the next tick."""
         try:
             region_message = decode_region(message.body)
@@ -85,7 +85,7 @@
         self._publish(now_ms)
         return sends
 
-    def stop(self, now_ms: float) -> list[Send]:
+    def stop(self, now_ms: float) -> list[OutgoingDatagram]:
         """Nothing to send at the end of the program: the lease's own part gives up the lease."""
         return []
 
@@ -93,9 +93,10 @@
         """The operators' page ``/regions``."""
         return self.node.state(self._clock.steady_ms())
 
-    def _sends(self, outgoing: Outgoing) -> list[Send]:
+    def _sends(self, outgoing: Outgoing) -> list[OutgoingDatagram]:
         return [
-            Send(to, Message(MESSAGE_KIND, self.node.me, 0, body=encode_region(message))) for to, message in outgoing
+            OutgoingDatagram(to, PeerMessage(MESSAGE_KIND, self.node.me, 0, body=encode_region(message)))
+            for to, message in outgoing
         ]
 
     # Orders for the router ---------------------------------------------------------------------------------
@@ -209,7 +210,7 @@
     # Operators ---------------------------------------------------------------------------------------------
 
     async def execute_command(
-        self, parameters: Mapping[str, str], send: Callable[[list[Send]], None]
+        self, parameters: Mapping[str, str], send: Callable[[list[OutgoingDatagram]], None]
     ) -> tuple[int, str]:
         """An operator's call with ``region``, ``word``, ``who`` and ``number``: HTTP status and text.
 
@@ -227,7 +228,7 @@
         return HTTP_RESPONSES[CommandOutcome.NOT_COORDINATOR]
 
     async def _attempt_command(
-        self, call: CommandCall, send: Callable[[list[Send]], None]
+        self, call: CommandCall, send: Callable[[list[OutgoingDatagram]], None]
     ) -> OperatorResponse | None:
         """Submit the command unless its response has come already, and wait once; the response if there is one."""
         if self.node.response(call.number) is None:
--- a/beechslip/regions/settings.py
+++ b/beechslip/regions/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from beechslip.fleet.settings import FleetConfig, Table
+from beechslip.fleet.settings import FleetConfig, SettingsTable
 from beechslip.leases.settings import LeasesConfig
 from beechslip.regions.coordinator import CoordinatorTuning
 from beechslip.regions.node_types import RegionTiming
@@ -28,20 +28,20 @@
 
 def read_regions(fleet: FleetConfig, leases: LeasesConfig | None) -> RegionsConfig | None:
     """The table's settings, ``None`` if it is not ``enabled``; ConfigError names a wrong key."""
-    table = Table(f"{fleet.file}: regions", fleet.tables["regions"], KEYS)
-    if not table.flag("enabled"):
+    table = SettingsTable(f"{fleet.file}: regions", fleet.tables["regions"], KEYS)
+    if not table.boolean("enabled"):
         return None
     if leases is None:
-        raise table.fail("enabled", "is true, but the table leases is off: the steward holds a lease")
+        raise table.make_error("enabled", "is true, but the table leases is off: the steward holds a lease")
     timing = _read_timing(table, leases)
     return RegionsConfig(_read_tuning(table, timing.report_interval_ms), timing)
 
 
-def _read_timing(table: Table, leases: LeasesConfig) -> RegionTiming:
+def _read_timing(table: SettingsTable, leases: LeasesConfig) -> RegionTiming:
     report_ms = table.number("report_ms", DEFAULT_REPORT_MS)
     expiry_ms = table.number("stale_ms", DEFAULT_EXPIRY_REPORTS * report_ms)
     if expiry_ms < MIN_EXPIRY_REPORTS * report_ms:
-        raise table.fail(
+        raise table.make_error(
             "stale_ms",
             f"is {expiry_ms:g}, under three times report_ms {report_ms:g}: two lost datagrams would make a proxy "
             "silent",
@@ -54,7 +54,7 @@
     )
 
 
-def _read_tuning(table: Table, report_ms: float) -> CoordinatorTuning:
+def _read_tuning(table: SettingsTable, report_ms: float) -> CoordinatorTuning:
     default = CoordinatorTuning()
     tuning = CoordinatorTuning(
         initial_wait_ms=table.number("out_ms", default.initial_wait_ms),
@@ -63,7 +63,7 @@
         backoff_reset_ms=table.number("calm_ms", default.backoff_reset_ms),
     )
     if tuning.step_ms < MIN_STEP_REPORTS * report_ms:
-        raise table.fail(
+        raise table.make_error(
             "step_ms",
             f"is {tuning.step_ms:g}, under twice report_ms {report_ms:g}: a step would be over "
             "before any report on it has come",
--- a/beechslip/store/sent_requests.py
+++ b/beechslip/store/sent_requests.py
@@ -27,7 +27,7 @@
 from beechslip.config import ConfigError, read_enabled
 from beechslip.core.services import PreviousSend
 from beechslip.counters import Counters
-from beechslip.fleet.settings import Table
+from beechslip.fleet.settings import SettingsTable
 from beechslip.store import STORE_SCHEMES, Rows, Store, StoreError, open_store
 
 log = logging.getLogger("beechslip.record")
@@ -72,11 +72,11 @@
     values = read_enabled(path)
     if values is None:
         return None
-    table = Table(path.name, values, ("enabled", "store", "wait_ms", "keep_s"))
-    if not table.text("store"):
-        raise table.fail("store", "is missing: the URL of a store of record")
+    table = SettingsTable(path.name, values, ("enabled", "store", "wait_ms", "keep_s"))
+    if not table.string("store"):
+        raise table.make_error("store", "is missing: the URL of a store of record")
     return SentRequestConfig(
-        table.text("store"),
+        table.string("store"),
         table.number("wait_ms", DEFAULT_WAIT_MS, most=MAX_WAIT_MS),
         table.number("keep_s", DEFAULT_KEEP_S, most=MAX_KEEP_S),
     )
--- a/lab/lease_faults.py
+++ b/lab/lease_faults.py
@@ -7,7 +7,7 @@
 from beechslip.duties.node import DutyNode
 from beechslip.leases import node
 from beechslip.leases.fence import Fence
-from beechslip.leases.messages import Ballot, Kind, LeaseMessage
+from beechslip.leases.messages import Ballot, LeaseMessage, LeaseMessageKind
 from beechslip.leases.paxos import Acceptor, Proposer
 from lab.injected_faults import Patch, register
 
@@ -26,12 +26,12 @@
 
 
 def _timer_starts_at_accept() -> list[Patch]:
-    def take(self: Proposer, now_ms: float) -> None:
-        self.began_ms = now_ms
+    def accept(self: Proposer, now_ms: float) -> None:
+        self.proposal_began_ms = now_ms
         original(self, now_ms)
 
-    original = Proposer._take
-    return [Patch(Proposer, "_take", take)]
+    original = Proposer._start_or_extend_tenure
+    return [Patch(Proposer, "_start_or_extend_tenure", accept)]
 
 
 def _majority_of_live_members() -> list[Patch]:
@@ -49,58 +49,60 @@
         return 2 * len(members) > len(alive)
 
     original = Proposer.receive
-    return [Patch(Proposer, "receive", receive), Patch(Proposer, "_enough", enough)]
+    return [Patch(Proposer, "receive", receive), Patch(Proposer, "_has_quorum", enough)]
 
 
 def _acts_without_lease_check() -> list[Patch]:
     """Who has ever held a lease goes on acting under its last token."""
     last_tokens: dict[tuple[str, int, str], int] = {}
 
-    def held(self: Proposer, now_ms: float, margin_ms: float | None = None) -> int | None:
+    def held_token(self: Proposer, now_ms: float, margin_ms: float | None = None) -> int | None:
         key = (self.me, self.incarnation, self.name)
         if self.token:
             last_tokens[key] = self.token
         return last_tokens.get(key)
 
-    return [Patch(Proposer, "held", held)]
+    return [Patch(Proposer, "held_token", held_token)]
 
 
 def _accepts_every_token() -> list[Patch]:
-    def take(self: Fence, name: str, token: int, holder: str) -> bool:
+    def accept(self: Fence, name: str, token: int, holder: str) -> bool:
         return True
 
-    return [Patch(Fence, "take", take)]
+    return [Patch(Fence, "accept", accept)]
 
 
 def _accepts_without_promise() -> list[Patch]:
     """An acceptor that has forgotten its promise accepts all the same, as in the paper: a promise from before
     its restart, heard late, then counts though it no longer binds."""
 
-    def answer(self: Acceptor, now_ms: float, sender: str, request: LeaseMessage) -> Any:
-        if request.kind is Kind.PROPOSE and request.round >= (self.promised.round if self.promised else 0):
+    def handle_request(self: Acceptor, now_ms: float, sender: str, request: LeaseMessage) -> Any:
+        if request.kind is LeaseMessageKind.PROPOSE and request.round >= (
+            self.promised.round if self.promised else 0
+        ):
             self.promised = Ballot(request.round, request.incarnation, sender)
         return original(self, now_ms, sender, request)
 
-    original = Acceptor.answer
-    return [Patch(Acceptor, "answer", answer)]
+    original = Acceptor.handle_request
+    return [Patch(Acceptor, "handle_request", handle_request)]
 
 
 def _uses_new_member_set_alone() -> list[Patch]:
     """A proxy goes by the new declared set alone, at once."""
 
-    def bind(self: Proposer, sets: tuple[int, ...]) -> None:
+    def add_sets(self: Proposer, sets: tuple[int, ...]) -> None:
         if self.sets != sets[-1:]:
-            self.sets, self.ballot, self.opened, self.accepts = sets[-1:], None, frozenset(), frozenset()
-            self.give_up()
+            self.sets, self.ballot, self.open_acceptors, self.accepted_by = sets[-1:], None, frozenset(), frozenset()
+            self.abandon_attempt()
 
-    return [Patch(Proposer, "bind", bind)]
+    return [Patch(Proposer, "add_sets", add_sets)]
 
 
 def _rounds_restart_at_one() -> list[Patch]:
     """Rounds begin at 1 after every start, and acceptors tell nobody what they know."""
 
     def begin(self: node.LeaseNode) -> None:
-        self.hint = 0
+        self.initial_round = 0
         original(self)
 
     original = node.LeaseNode.__post_init__
--- a/lab/region_faults.py
+++ b/lab/region_faults.py
@@ -48,7 +48,7 @@
     """A new coordinator does not ask for the newest order."""
 
     def broken(self: RegionNode, now_ms: float) -> Any:
-        token = self._leases.held(LEASE, now_ms)
+        token = self._leases.held_token(LEASE, now_ms)
         if token is not None and token != self._tenure_token:
             self._tenure_token = token
             self._coordinator = RegionCoordinator(self.tuning, self.order.table(), now_ms)
@@ -70,7 +70,7 @@
         self._leases = leases
         self._token = token
 
-    def held(self, name: str, now_ms: float) -> int:
+    def held_token(self, name: str, now_ms: float) -> int:
         """The token, whatever the time."""
         return self._token
 
@@ -86,7 +86,7 @@
     def broken(self: RegionNode, now_ms: float) -> Any:
         leases = self._leases
         token = self._tenure_token
-        if self._coordinator is None or not token or leases.held(LEASE, now_ms) is not None:
+        if self._coordinator is None or not token or leases.held_token(LEASE, now_ms) is not None:
             return tick(self, now_ms)
         self._leases = _EternalLease(leases, token)
         outgoing = tick(self, now_ms)
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from beechslip.config import ConfigError
-from beechslip.fleet.settings import Table
+from beechslip.fleet.settings import SettingsTable
 from lab.relay import Weather
 
 MOST_MEMBERS = 20
@@ -180,44 +180,44 @@
         values = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise ConfigError(f"{path.name}: {error}") from None
-    table = Table(path.name, values, SCENARIO_KEYS)
+    table = SettingsTable(path.name, values, SCENARIO_KEYS)
     members, spare = _sizes(table)
     size = members + spare
-    load = Table(f"{path.name}: load", values.get("load", {}), ("rps", "requests", "weights"))
-    backends = Table(f"{path.name}: depots", values.get("depots", {}), ("work_ms", "deadline_s", "hubs"))
+    load = SettingsTable(f"{path.name}: load", values.get("load", {}), ("rps", "requests", "weights"))
+    backends = SettingsTable(f"{path.name}: depots", values.get("depots", {}), ("work_ms", "deadline_s", "hubs"))
     return Scenario(
-        name=table.text("name") or path.stem,
-        about=table.text("about"),
-        seed=table.whole("seed", 1, 0, 1 << 31),
+        name=table.string("name") or path.stem,
+        about=table.string("about"),
+        seed=table.integer("seed", 1, 0, 1 << 31),
         members=members,
         spare=spare,
         duration_s=table.number("duration_s", DEFAULT_DURATION_S, most=MOST_S),
         tables=_fleet_tables(path.name, values.get("fleet", {})),
         rps=load.number("rps", 0.0, least=FROM_ZERO, most=MOST_REQUESTS_PER_S),
-        requests=load.whole("requests", 0, 0, MOST_REQUESTS),
+        requests=load.integer("requests", 0, 0, MOST_REQUESTS),
         faults=_faults(table, values.get("fault", []), size),
         must=_must(path.name, values.get("must", {})),
         disks=_disks(path.name, values.get("disk", []), size),
-        injected_faults=table.texts("plants"),
+        injected_faults=table.strings("plants"),
         zones=_zones(table, values, size),
         weights=_numbers(load, "weights", values.get("load", {})),
         work_ms=backends.number("work_ms", 0.0, least=FROM_ZERO, most=MOST_WORK_MS),
         deadline_s=backends.number("deadline_s", 0.0, least=FROM_ZERO, most=MOST_DEADLINE_S),
-        hubs=backends.whole("hubs", 0, 0, MOST_HUBS),
+        hubs=backends.integer("hubs", 0, 0, MOST_HUBS),
     )
 
 
-def _sizes(table: Table) -> tuple[int, int]:
+def _sizes(table: SettingsTable) -> tuple[int, int]:
     """Members at the start, and those that are declared later."""
-    members = table.whole("members", DEFAULT_MEMBERS, 1, MOST_MEMBERS)
-    spare = table.whole("spare", 0, 0, MOST_MEMBERS)
+    members = table.integer("members", DEFAULT_MEMBERS, 1, MOST_MEMBERS)
+    spare = table.integer("spare", 0, 0, MOST_MEMBERS)
     if members + spare > MOST_MEMBERS:
-        raise table.fail("spare", f"and members are {members + spare}, more than {MOST_MEMBERS}")
+        raise table.make_error("spare", f"and members are {members + spare}, more than {MOST_MEMBERS}")
     return members, spare
 
 
 def _fleet_tables(file: str, tables: Any) -> Mapping[str, Mapping[str, Any]]:
-    Table(f"{file}: fleet", tables, FLEET_TABLES)
+    SettingsTable(f"{file}: fleet", tables, FLEET_TABLES)
     for name, table in tables.items():
         if not isinstance(table, Mapping):
             raise ConfigError(f"{file}: fleet: {name} must be a table")
@@ -225,65 +225,65 @@
     return checked
 
 
-def _zones(table: Table, values: Mapping[str, Any], size: int) -> tuple[int, ...]:
+def _zones(table: SettingsTable, values: Mapping[str, Any], size: int) -> tuple[int, ...]:
     zones = _numbers(table, "zones", values)
     if zones and len(zones) != size:
-        raise table.fail("zones", f"names {len(zones)} members, there are {size}")
+        raise table.make_error("zones", f"names {len(zones)} members, there are {size}")
     return tuple(int(zone) for zone in zones)
 
 
 def _disks(file: str, entries: Any, size: int) -> Mapping[int, str]:
     disks: dict[int, str] = {}
     for number, entry in enumerate(entries):
-        disk = Table(f"{file}: disk {number}", entry, ("who", "how"))
-        how = disk.text("how")
+        disk = SettingsTable(f"{file}: disk {number}", entry, ("who", "how"))
+        how = disk.string("how")
         if how not in DISK_FAULTS:
-            raise disk.fail("how", f"must be {' or '.join(DISK_FAULTS)}")
-        disks[disk.whole("who", 0, 0, size - 1)] = how
+            raise disk.make_error("how", f"must be {' or '.join(DISK_FAULTS)}")
+        disks[disk.integer("who", 0, 0, size - 1)] = how
     return disks
 
 
 def _must(file: str, values: Any) -> Must:
-    table = Table(f"{file}: must", values, MUST_KEYS)
+    table = SettingsTable(f"{file}: must", values, MUST_KEYS)
     return Must(
-        holds=table.whole("holds", 1, 0, MOST_COUNT),
-        handovers=table.whole("handovers", 0, 0, MOST_COUNT),
-        rejected_acts=table.whole("turned_down", 0, 0, MOST_COUNT),
-        census=table.flag("census"),
-        answered=table.flag("answered", True),
+        holds=table.integer("holds", 1, 0, MOST_COUNT),
+        handovers=table.integer("handovers", 0, 0, MOST_COUNT),
+        rejected_acts=table.integer("turned_down", 0, 0, MOST_COUNT),
+        census=table.boolean("census"),
+        answered=table.boolean("answered", True),
         probe_gap_s=table.number("probe_gap_s", 0.0, least=FROM_ZERO, most=MOST_S),
-        tokens=table.flag("tokens", True),
+        tokens=table.boolean("tokens", True),
         used=_named_numbers(f"{file}: must: used", values.get("used", {})),
-        away=table.whole("away", 0, 0, MOST_REGIONS_OUT),
-        back=table.flag("back"),
-        said=table.texts("said"),
+        away=table.integer("away", 0, 0, MOST_REGIONS_OUT),
+        back=table.boolean("back"),
+        said=table.strings("said"),
         served=table.number("served", 0.0, least=FROM_ZERO, most=1.0),
     )
 
 
-def _faults(table: Table, entries: Any, size: int) -> tuple[Fault, ...]:
+def _faults(table: SettingsTable, entries: Any, size: int) -> tuple[Fault, ...]:
     """All faults by rising time."""
     if not isinstance(entries, list):
-        raise table.fail("fault", "must be tables, [[fault]]")
+        raise table.make_error("fault", "must be tables, [[fault]]")
     faults = [_fault(f"{table.where}: fault {number}", entry, size) for number, entry in enumerate(entries)]
     return tuple(sorted(faults, key=lambda fault: fault.at_s))
 
 
 def _fault(where: str, values: Any, size: int) -> Fault:
-    table = Table(where, values, FAULT_KEYS)
-    action = table.text("do")
+    table = SettingsTable(where, values, FAULT_KEYS)
+    action = table.string("do")
     if action not in ACTIONS:
-        raise table.fail("do", f"must be one of {', '.join(ACTIONS)}, not {action!r:.40}")
+        raise table.make_error("do", f"must be one of {', '.join(ACTIONS)}, not {action!r:.40}")
     return Fault(
         at_s=table.number("at_s", 0.0, least=FROM_ZERO, most=MOST_S),
         do=action,
         who=_targets(table, action, size),
         for_s=table.number("for_s", 0.0, least=FROM_ZERO, most=MOST_S),
         each_s=table.number("each_s", 0.0, least=FROM_ZERO, most=MOST_S),
-        in_act=table.flag("in_act"),
+        in_act=table.boolean("in_act"),
         sides=_sides(table, values.get("sides", []), action, size),
         weather=_weather(f"{where}: weather", values.get("weather", {})),
-        size=table.whole("size", 0, 0, size),
+        size=table.integer("size", 0, 0, size),
         how=_how(table, action),
         weights=_numbers(table, "weights", values),
         backend=_backend(table, action),
@@ -291,13 +291,13 @@
     )
 
 
-def _targets(table: Table, action: str, size: int) -> tuple[str, ...]:
-    targets = table.texts("who")
+def _targets(table: SettingsTable, action: str, size: int) -> tuple[str, ...]:
+    targets = table.strings("who")
     for target in targets:
         if not _is_target(target, size):
-            raise table.fail("who", f"names {target!r:.40}, no member of this scenario")
+            raise table.make_error("who", f"names {target!r:.40}, no member of this scenario")
     if not targets and action not in ACTIONS_ON_NOBODY:
-        raise table.fail("who", f"is missing: {action} is done to somebody")
+        raise table.make_error("who", f"is missing: {action} is done to somebody")
     return targets
 
 
@@ -308,11 +308,11 @@
     return target[:1] == "d" and number.isdigit() and int(number) < size
 
 
-def _sides(table: Table, sides: Any, action: str, size: int) -> tuple[tuple[int, ...], ...]:
+def _sides(table: SettingsTable, sides: Any, action: str, size: int) -> tuple[tuple[int, ...], ...]:
     if not isinstance(sides, list) or not all(_is_side(side, size) for side in sides):
-        raise table.fail("sides", "must be lists of members' numbers")
+        raise table.make_error("sides", "must be lists of members' numbers")
     if action in ACTIONS_WITH_SIDES and not sides:
-        raise table.fail("sides", "is missing: a cut has sides")
+        raise table.make_error("sides", "is missing: a cut has sides")
     return tuple(tuple(side) for side in sides)
 
 
@@ -320,24 +320,24 @@
     return isinstance(side, list) and all(isinstance(number, int) and 0 <= number < size for number in side)
 
 
-def _backend(table: Table, action: str) -> str:
-    backend = table.text("depot")
+def _backend(table: SettingsTable, action: str) -> str:
+    backend = table.string("depot")
     if action in ACTIONS_ON_A_BACKEND and not backend:
-        raise table.fail("depot", f"is missing: {action} is done to one")
+        raise table.make_error("depot", f"is missing: {action} is done to one")
     return backend
 
 
-def _how(table: Table, action: str) -> str:
-    how = table.text("how")
+def _how(table: SettingsTable, action: str) -> str:
+    how = table.string("how")
     if action == "zone" and how not in BACKEND_FAULTS:
-        raise table.fail("how", "must be fail, slow, dead, cut, or empty")
+        raise table.make_error("how", "must be fail, slow, dead, cut, or empty")
     if action in ("depot", "log") and how not in RELAY_FAULTS and not how.isdigit():
-        raise table.fail("how", "must be silence, reset, or bytes a second")
+        raise table.make_error("how", "must be silence, reset, or bytes a second")
     return how
 
 
 def _weather(where: str, values: Any) -> Weather:
-    table = Table(where, values, ("loss", "repeat", "late", "late_ms", "delay_ms"))
+    table = SettingsTable(where, values, ("loss", "repeat", "late", "late_ms", "delay_ms"))
     return Weather(
         loss=_ratio(table, "loss"),
         repeat=_ratio(table, "repeat"),
@@ -347,14 +347,14 @@
     )
 
 
-def _ratio(table: Table, key: str) -> float:
+def _ratio(table: SettingsTable, key: str) -> float:
     return table.number(key, 0.0, least=FROM_ZERO, most=1.0)
 
 
-def _numbers(table: Table, key: str, values: Mapping[str, Any]) -> tuple[float, ...]:
+def _numbers(table: SettingsTable, key: str, values: Mapping[str, Any]) -> tuple[float, ...]:
     numbers = values.get(key, [])
     if not isinstance(numbers, list) or not all(_is_weight(number) for number in numbers):
-        raise table.fail(key, "must be a list of numbers from 0")
+        raise table.make_error(key, "must be a list of numbers from 0")
     return tuple(float(number) for number in numbers)
 
 
--- a/lab/search.py
+++ b/lab/search.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, fields
 from typing import Any, NamedTuple
 
-from beechslip.leases.messages import REQUEST_KINDS, Ballot, Kind, LeaseMessage
+from beechslip.leases.messages import REQUEST_KINDS, Ballot, LeaseMessage, LeaseMessageKind
 from beechslip.leases.node import LeaseNode
 from beechslip.leases.paxos import Acceptor, LeaseTuning, Proposer
 
@@ -222,7 +222,7 @@
             if proposer.ballot is not None and not renew:
                 proposer.highest = max(proposer.highest, FIRST_ROUND_AFTER_BOTH)
             now = float(state.now)
-            out = proposer.renew(now) if renew else proposer.begin(now)
+            out = proposer.renew(now) if renew else proposer.start_attempt(now)
             self._begins[key] = (self._store_proposer(proposer), self._mask(PROPOSERS[k], out))
         after, packets = self._begins[key]
         proposers = _with(state.proposers, k, after)
@@ -233,8 +233,8 @@
         if key not in self._acceptor_steps:
             packet = self._packets.things[number]
             acceptor = Acceptor(*self._acceptors.things[memory])
-            reply = acceptor.answer(_fast(now), packet.sender, packet.message)
-            out = [(packet.sender, reply)] if reply is not None and reply.kind is not Kind.REFUSE else []
+            reply = acceptor.handle_request(_fast(now), packet.sender, packet.message)
+            out = [(packet.sender, reply)] if reply is not None and reply.kind is not LeaseMessageKind.REFUSE else []
             self._acceptor_steps[key] = (self._acceptors(_memory(acceptor)), self._mask(packet.to, out))
         return self._acceptor_steps[key]
 
@@ -284,8 +284,8 @@
         proposer = self._load_proposer(memory)
         if proposer.ballot is None or message.round != proposer.ballot.round:
             return True
-        heard = proposer.opened if message.kind is Kind.PROMISE else proposer.accepts
-        return not more and (not proposer.attempting or packet.sender in heard)
+        heard = proposer.open_acceptors if message.kind is LeaseMessageKind.PROMISE else proposer.accepted_by
+        return not more and (not proposer.is_attempting or packet.sender in heard)
 
     # Numbers -------------------------------------------------------------------------------------------------
 
@@ -296,7 +296,7 @@
         number = self._proposers(_memory(proposer))
         if number == len(self._deadlines):
             self._deadlines.append(proposer.deadline_ms)
-            self._attempting.append(proposer.attempting)
+            self._attempting.append(proposer.is_attempting)
         return number
 
     def _mask(self, sender: str, out: Sequence[tuple[str, LeaseMessage]]) -> int:
--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -21,8 +21,8 @@
 from typing import Any
 
 from beechslip.fleet.codec import decode, encode
-from beechslip.fleet.messages import Message
-from beechslip.leases.census import NAME as CENSUS
+from beechslip.fleet.messages import PeerMessage
+from beechslip.leases.census import TASK_NAME as CENSUS
 from beechslip.leases.census import Census
 from beechslip.leases.messages import (
     ActMessage,
@@ -162,8 +162,8 @@
         local = self._local(one)
         self._send(name, one.node.tick(local))
         self._send(name, one.runner.tick(local, lambda: self._local(one)))
-        for done in one.runner.over():
-            if one.node.held(done, local) is not None:
+        for done in one.runner.finished_tasks():
+            if one.node.held_token(done, local) is not None:
                 self._send(name, one.node.release(done, local))
                 one.node.want(done, local + self.plan.tuning.lease_ms)
 
@@ -188,7 +188,7 @@
     def _through(self, sender: str, message: Any) -> Any:
         lease = isinstance(message, LeaseMessage)
         body = encode_lease(message) if lease else encode_act(message)
-        data = encode(Message("lease" if lease else "act", sender, 0, body=body), FLEET)
+        data = encode(PeerMessage("lease" if lease else "act", sender, 0, body=body), FLEET)
         self.bytes += len(data)
         back = decode(data, FLEET).body
         return decode_lease(back) if lease else decode_act(back)
@@ -254,7 +254,7 @@
         """Another declared set at ``member``. As the operators' page has it, the file names the earlier one, too."""
         self.declared[member] = (self.plan.size, size) if self.plan.before else (size,)
         if member in self.members:
-            self.members[member].node.declare(size)
+            self.members[member].node.set_declared_size(size)
         else:
             self._boot(member)
 
--- a/lab/virtual_budgets.py
+++ b/lab/virtual_budgets.py
@@ -22,7 +22,7 @@
 from beechslip.budgets.messages import AllocationGrant, AllocationRequest, decode_budget, encode_budget
 from beechslip.budgets.node import BudgetNode
 from beechslip.fleet.codec import decode, encode
-from beechslip.fleet.messages import Message
+from beechslip.fleet.messages import PeerMessage
 from lab.budget_checker import BudgetChecker, settled_ms
 from lab.virtual import FLEET, VirtualFleet
 from lab.virtual_plan import Plan, schedule
@@ -200,7 +200,7 @@
     def _pass_on(self, sender: str, out: Any) -> None:
         """Send a node's messages, and count them; with ``wire`` each must be readable as it was encoded."""
         for _, message in out:
-            data = encode(Message("budget", sender, 0, body=encode_budget(message)), FLEET)
+            data = encode(PeerMessage("budget", sender, 0, body=encode_budget(message)), FLEET)
             self.budget_datagrams += 1
             self.budget_bytes += len(data)
             if self.wire:
--- a/lab/virtual_regions.py
+++ b/lab/virtual_regions.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from beechslip.fleet.codec import decode, encode
-from beechslip.fleet.messages import Message
+from beechslip.fleet.messages import PeerMessage
 from beechslip.regions.coordinator import CoordinatorTuning
 from beechslip.regions.messages import (
     CoordinatorOrder,
@@ -161,7 +161,7 @@
         self.regions.start(name, incarnation)
 
         def note(kind: str, **facts: Any) -> None:
-            lease_held = member.node.held(LEASE, self._local(member)) == facts.get("token")
+            lease_held = member.node.held_token(LEASE, self._local(member)) == facts.get("token")
             event = {"t": self.now, "member": name, "life": incarnation, "kind": kind, **facts}
             self.regions.feed(event, lease_held)
             if self.keep:
@@ -225,7 +225,7 @@
     def _send_regions(self, sender: str, outgoing: Any) -> None:
         messages: list[Any] = []
         for to, message in outgoing:
-            data = encode(Message("region", sender, 0, body=encode_region(message)), FLEET_NAME)
+            data = encode(PeerMessage("region", sender, 0, body=encode_region(message)), FLEET_NAME)
             self.region_datagrams += 1
             self.region_bytes += len(data)
             received = decode_region(decode(data, FLEET_NAME).body) if self.use_region_codec else message
--- a/tests/region_helpers.py
+++ b/tests/region_helpers.py
@@ -20,7 +20,7 @@
         self.name = ""
         self.token = 0
 
-    def held(self, name: str, now_ms: float) -> int | None:
+    def held_token(self, name: str, now_ms: float) -> int | None:
         """The token if this member is the holder."""
         return self.token if self.name == self.me and name == LEASE else None
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -109,10 +109,10 @@
     def __init__(self, me: str) -> None:
         self.me, self.holder, self.round = me, "", 0
 
-    def held(self, name: str, now_ms: float) -> int | None:
+    def held_token(self, name: str, now_ms: float) -> int | None:
         return self.round if self.holder == self.me and name == LEASE else None
 
-    def ballot(self, name: str, now_ms: float) -> tuple[str, int]:
+    def holder_and_round(self, name: str, now_ms: float) -> tuple[str, int]:
         return self.holder, self.round
 
 
--- a/tests/test_budgets_settings.py
+++ b/tests/test_budgets_settings.py
@@ -25,8 +25,8 @@
 from beechslip.budgets.settings import read_budgets
 from beechslip.config import Address, Config, ConfigError
 from beechslip.core.model import AttemptRequest, Backend, ClientRequest
-from beechslip.fleet.codec import MOST_BYTES, CodecError, encode
-from beechslip.fleet.messages import Message
+from beechslip.fleet.codec import MAX_DATAGRAM_BYTES, CodecError, encode
+from beechslip.fleet.messages import PeerMessage
 from beechslip.fleet.settings import read_fleet
 from beechslip.leases.settings import read_leases
 from beechslip.peering import read_checked_budgets
@@ -52,8 +52,8 @@
     grant = AllocationGrant(7, 8, 1 << 52, dict.fromkeys(range(MAX_ENTRIES), 0.1))
     assert decode_budget(encode_budget(grant)) == grant
     for message in (ask, grant):
-        data = encode(Message("budget", "d511", 0, body=encode_budget(message)), "a-fleet-of-this-length")
-        assert len(data) <= MOST_BYTES
+        data = encode(PeerMessage("budget", "d511", 0, body=encode_budget(message)), "a-fleet-of-this-length")
+        assert len(data) <= MAX_DATAGRAM_BYTES
 
 
 def test_the_bytes_of_messages_stay_as_released() -> None:
--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -12,7 +12,7 @@
 from beechslip.budgets.settings import AMOUNTS, BudgetsConfig
 from beechslip.core.messages import EndpointListUpdate
 from beechslip.core.model import AttemptResult, Backend
-from beechslip.fleet.messages import Message
+from beechslip.fleet.messages import PeerMessage
 from lab.stand import HANG, OK, Stand, StandBackend, run, until
 from tests.test_budgets import Lease
 from tests.test_dns import ZONE, DnsStand, box, own
@@ -169,6 +169,6 @@
 async def test_what_can_not_be_read_is_counted_and_costs_nothing() -> None:
     async with Stand(*backends()) as stand:
         part = part_for(stand, hub_fills=4.0)
-        assert part.receive(0.0, Message("budget", "d1", 0, body=b"odd")) == []
+        assert part.receive(0.0, PeerMessage("budget", "d1", 0, body=b"odd")) == []
         assert stand.counters["budget.bad"] == 1 and part.state()["keeping"] is False
         assert part.stop(0.0) == []
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -16,7 +16,7 @@
 from beechslip.fleet.dissemination import UpdateQueue
 from beechslip.fleet.member import Member, overrides, suspicion_ms
 from beechslip.fleet.membership import Membership
-from beechslip.fleet.messages import Message, Report, State, Update
+from beechslip.fleet.messages import DutyReport, MemberState, MemberUpdate, PeerMessage
 from beechslip.fleet.tuning import MembershipTuning
 
 INTERVAL = DutyTuning().interval_ms
@@ -54,7 +54,7 @@
     assert fleet.longest_gap(10_000) <= BOUND
     alive = set(fleet.alive_names())
     for name in alive:
-        assert set(fleet.nodes[name].membership.alive()) == alive  # every death found and agreed
+        assert set(fleet.nodes[name].membership.alive_members()) == alive  # every death found and agreed
     assert fleet.duplicate_fraction(22_000) < 0.05
 
 
@@ -77,10 +77,10 @@
     fleet.run_until(5_000)
     fleet.kill(["d003"])
     fleet.run_until(15_000)
-    assert all("d003" not in fleet.nodes[n].membership.alive() for n in fleet.alive_names())
+    assert all("d003" not in fleet.nodes[n].membership.alive_members() for n in fleet.alive_names())
     fleet.restart("d003")
     fleet.run_until(25_000)
-    assert all("d003" in fleet.nodes[n].membership.alive() for n in fleet.alive_names())
+    assert all("d003" in fleet.nodes[n].membership.alive_members() for n in fleet.alive_names())
     assert any(name == "d003" for at, name, _ in fleet.starts if at > 20_000)
     assert fleet.duplicate_fraction(20_000) < 0.05
 
@@ -121,7 +121,7 @@
     fleet.resume(["d005"])
     fleet.run_until(25_000)
     assert fleet.nodes["d005"].membership.incarnation > before
-    assert all("d005" in fleet.nodes[n].membership.alive() for n in fleet.names)
+    assert all("d005" in fleet.nodes[n].membership.alive_members() for n in fleet.names)
     assert fleet.longest_gap(5_000) <= BOUND
     assert fleet.duplicate_fraction(18_000) < 0.05
 
@@ -130,7 +130,7 @@
     # x takes y for dead (an old update); y has never heard of x: both take themselves for the owner of every duty.
     duties = tuple(f"box{n}" for n in range(8))
     x_view = Membership("x", 0.0, ("y",))
-    x_view._merge(Update("y", 0, State.DEAD), 0.0)
+    x_view._merge(MemberUpdate("y", 0, MemberState.DEAD), 0.0)
     one, two = DutyNode(x_view, duties), DutyNode(Membership("y", 0.0), duties)
     assert one.owned() == two.owned() == sorted(duties)
     for node in (one, two):
@@ -138,8 +138,8 @@
         assert set(started) == set(duties)
         for duty in duties:
             node.done(2_010.0, duty, True)
-    one.receive(2_200.0, Message("report", "y", 0, reports=tuple(two.latest_reports[d] for d in duties)))
-    two.receive(2_200.0, Message("report", "x", 0, reports=tuple(one.latest_reports[d] for d in duties)))
+    one.receive(2_200.0, PeerMessage("report", "y", 0, reports=tuple(two.latest_reports[d] for d in duties)))
+    two.receive(2_200.0, PeerMessage("report", "x", 0, reports=tuple(one.latest_reports[d] for d in duties)))
     y_wins = [d for d in duties if weight(d, "y") > weight(d, "x")]
     assert y_wins and len(y_wins) < len(duties)
     for duty in duties:
@@ -169,15 +169,17 @@
 
 
 _updates = st.lists(
-    st.builds(Update, st.just("peer"), st.integers(0, 4), st.sampled_from(list(State))), min_size=1, max_size=12
+    st.builds(MemberUpdate, st.just("peer"), st.integers(0, 4), st.sampled_from(list(MemberState))),
+    min_size=1,
+    max_size=12,
 )
 
 
 @given(_updates, st.randoms(use_true_random=False))
 def test_the_state_reached_does_not_depend_on_the_order_updates_come_in(
-    updates: list[Update], rng: random.Random
+    updates: list[MemberUpdate], rng: random.Random
 ) -> None:
-    def merged(order: list[Update]) -> tuple[int, State] | None:
+    def merged(order: list[MemberUpdate]) -> tuple[int, MemberState] | None:
         view = Membership("me", 0.0, ("peer",))
         for update in order:
             view._merge(update, 0.0)
@@ -190,34 +192,34 @@
 
 
 def test_swim_precedence() -> None:
-    alive, suspect, dead = State.ALIVE, State.SUSPECT, State.DEAD
-    assert overrides(Update("p", 1, suspect), Member("p", 1, alive, 0))
-    assert not overrides(Update("p", 1, alive), Member("p", 1, suspect, 0))
-    assert overrides(Update("p", 2, alive), Member("p", 1, suspect, 0))
-    assert overrides(Update("p", 1, dead), Member("p", 1, suspect, 0))
-    assert not overrides(Update("p", 1, dead), Member("p", 2, alive, 0))  # an old update of a restarted one
+    alive, suspect, dead = MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD
+    assert overrides(MemberUpdate("p", 1, suspect), Member("p", 1, alive, 0))
+    assert not overrides(MemberUpdate("p", 1, alive), Member("p", 1, suspect, 0))
+    assert overrides(MemberUpdate("p", 2, alive), Member("p", 1, suspect, 0))
+    assert overrides(MemberUpdate("p", 1, dead), Member("p", 1, suspect, 0))
+    assert not overrides(MemberUpdate("p", 1, dead), Member("p", 2, alive, 0))  # an old update of a restarted one
 
 
 def test_a_member_that_hears_itself_suspected_refutes() -> None:
     view = Membership("me", 0.0, ("a",))
-    view.receive(10.0, Message("ping", "a", 1, updates=(Update("me", 0, State.SUSPECT),)))
+    view.receive(10.0, PeerMessage("ping", "a", 1, updates=(MemberUpdate("me", 0, MemberState.SUSPECT),)))
     assert view.incarnation == 1 and view.counts["refuted"] == 1
 
 
 def test_updates_go_out_a_bounded_number_of_times_the_receivers_own_first() -> None:
-    queue = UpdateQueue(retransmit=1.0)
-    first, second = Update("a", 1, State.ALIVE), Update("b", 1, State.SUSPECT)
+    queue = UpdateQueue(retransmit_factor=1.0)
+    first, second = MemberUpdate("a", 1, MemberState.ALIVE), MemberUpdate("b", 1, MemberState.SUSPECT)
     queue.add(first, 3)  # log2(4): twice
     queue.add_once(second)
-    queue.add_if_absent(Update("b", 0, State.DEAD))
+    queue.add_if_absent(MemberUpdate("b", 0, MemberState.DEAD))
     assert queue.take("b", 1) == (second,) and queue.take("c", 5) == (first,) and queue.take("c", 5) == (first,)
     assert not queue and queue.take("c", 5) == ()
 
 
 def test_the_newest_reports_go_first_and_an_older_one_replaces_nothing() -> None:
     reports = ReportQueue(copies=2, per_message=1)
-    newer, older = Report("x", "m", 20.0, True), Report("y", "m", 10.0, True)
-    for report in (older, newer, Report("x", "n", 15.0, False)):
+    newer, older = DutyReport("x", "m", 20.0, True), DutyReport("y", "m", 10.0, True)
+    for report in (older, newer, DutyReport("x", "n", 15.0, False)):
         reports.add(report)
     assert [reports.take() for _ in range(5)] == [(newer,), (newer,), (older,), (older,), ()]
     reports.add(newer)
@@ -239,21 +241,21 @@
 def test_a_suspicion_ends_sooner_the_more_members_accuse() -> None:
     tuning = MembershipTuning(suspect_ms=1_000.0, suspect_most_ms=4_000.0, accusers=3)
     times = [
-        suspicion_ms(Member("p", 1, State.SUSPECT, 0.0, frozenset("abcdef"[:accusers])), tuning)
+        suspicion_ms(Member("p", 1, MemberState.SUSPECT, 0.0, frozenset("abcdef"[:accusers])), tuning)
         for accusers in range(1, 6)
     ]
     assert times[0] == 4_000.0 and times[1] == 2_500.0 and times[3] == times[4] == 1_000.0
     alone = MembershipTuning(suspect_ms=1_000.0, suspect_most_ms=4_000.0, accusers=0)
-    assert suspicion_ms(Member("p", 1, State.SUSPECT, 0.0), alone) == 1_000.0
+    assert suspicion_ms(Member("p", 1, MemberState.SUSPECT, 0.0), alone) == 1_000.0
 
 
 def test_tables_are_bounded() -> None:
-    view = Membership("me", 0.0, tuning=MembershipTuning(most_members=5, forget_ms=1_000))
+    view = Membership("me", 0.0, tuning=MembershipTuning(max_members=5, forget_ms=1_000))
     for n in range(20):
-        view.receive(1.0, Message("ack", f"p{n}", 0))
+        view.receive(1.0, PeerMessage("ack", f"p{n}", 0))
     assert len(view.members) == 5 and view.counts["members_over_bound"] == 15
     for name in list(view.members):
-        view._merge(Update(name, 0, State.DEAD), 2.0)
+        view._merge(MemberUpdate(name, 0, MemberState.DEAD), 2.0)
     view.tick(5_000.0)
     assert not view.members
     node = DutyNode(Membership("me", 0.0), ("a", "b", "c"))
--- a/tests/test_duties_wire.py
+++ b/tests/test_duties_wire.py
@@ -19,11 +19,11 @@
 from beechslip.duties.node import DutyNode
 from beechslip.duties.settings import read_duties
 from beechslip.duties.shared import DutyPart, SharedHealthChecker
-from beechslip.fleet.codec import MOST_BYTES, CodecError, decode, encode
+from beechslip.fleet.codec import MAX_DATAGRAM_BYTES, CodecError, decode, encode
 from beechslip.fleet.membership import Membership
-from beechslip.fleet.messages import Message, Report, State, Update
-from beechslip.fleet.peers import Peers, member_name
-from beechslip.fleet.settings import FLEET_FILE, read_fleet, refuse_old
+from beechslip.fleet.messages import DutyReport, MemberState, MemberUpdate, PeerMessage
+from beechslip.fleet.peers import PeerSocket, member_name
+from beechslip.fleet.settings import FLEET_FILE, read_fleet, refuse_old_settings_file
 from beechslip.leases.settings import read_leases
 from beechslip.routing import interface as i
 from beechslip.routing.wire.settings import read_settings
@@ -42,24 +42,24 @@
     """What a duty part needs of a shared health checker: duties that are done at once, reports that are stored."""
 
     def __init__(self, node: DutyNode) -> None:
-        self.node, self.done, self.reports = node, list[str](), list[Report]()
+        self.node, self.done, self.reports = node, list[str](), list[DutyReport]()
 
     async def perform(self, duty: str) -> bool:
         self.done.append(duty)
         return True
 
-    def on_report(self, report: Report) -> None:
+    def on_report(self, report: DutyReport) -> None:
         self.reports.append(report)
 
 
 def _peers(
     number: int, addresses: list[Address], duties: tuple[str, ...], clock: ManualClock
-) -> tuple[Peers, _Shared]:
+) -> tuple[PeerSocket, _Shared]:
     names = tuple(member_name(n) for n in range(len(addresses)))
     node = DutyNode(Membership(names[number], clock.steady_ms(), names, incarnation=1), duties)
     shared, counters = _Shared(node), Counters()
     part = DutyPart(cast(SharedHealthChecker, shared), clock, counters)
-    return Peers(FLEET, number, addresses[number], addresses, [part], clock, counters), shared
+    return PeerSocket(FLEET, number, addresses[number], addresses, [part], clock, counters), shared
 
 
 async def _pass(clock: ManualClock, ms: float, step: float = 50.0) -> None:
@@ -89,7 +89,7 @@
         before = [len(one.done) for one in shared]
         await _pass(clock, 8_000)
         assert {d for one, was in zip(shared[1:], before[1:], strict=True) for d in one.done[was:]} == set(duties)
-        assert all(one.node.membership.state_of("d0") is State.DEAD for one in shared[1:])
+        assert all(one.node.membership.state_of("d0") is MemberState.DEAD for one in shared[1:])
     finally:
         for one in peers:
             one.stop()
@@ -102,13 +102,13 @@
     await peer.start()
     sender, member = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
     member.bind((addresses[1].host, addresses[1].port))
-    good = encode(Message("ping", "d1", 1), FLEET)
+    good = encode(PeerMessage("ping", "d1", 1), FLEET)
     old = good.replace(b"\x08\x02", b"\x08\x01", 1)  # the version is the first field
     try:
-        for data in (b"", b"\xff" * 40, good[:-3], old, encode(Message("ping", "d1", 1), "other"), b"x" * 600):
+        for data in (b"", b"\xff" * 40, good[:-3], old, encode(PeerMessage("ping", "d1", 1), "other"), b"x" * 600):
             member.sendto(data, (addresses[0].host, addresses[0].port))
         sender.sendto(good, (addresses[0].host, addresses[0].port))  # not from the member's address
-        member.sendto(encode(Message("ping", "d0", 1), FLEET), (addresses[0].host, addresses[0].port))
+        member.sendto(encode(PeerMessage("ping", "d0", 1), FLEET), (addresses[0].host, addresses[0].port))
         await until(lambda: peer.counters["fleet.bad"] >= 6 and peer.counters["fleet.foreign"] >= 2)
         assert peer.counters["fleet.received"] == 0
         member.sendto(good, (addresses[0].host, addresses[0].port))
@@ -125,15 +125,15 @@
 @given(
     _names,
     st.integers(0, 2**40),
-    st.lists(st.builds(Update, _names, st.integers(0, 2**50), st.sampled_from(list(State))), max_size=6),
-    st.lists(st.builds(Report, _names, _names, st.floats(0, 2e12), st.booleans(), st.booleans()), max_size=6),
+    st.lists(st.builds(MemberUpdate, _names, st.integers(0, 2**50), st.sampled_from(list(MemberState))), max_size=6),
+    st.lists(st.builds(DutyReport, _names, _names, st.floats(0, 2e12), st.booleans(), st.booleans()), max_size=6),
 )
 def test_what_is_encoded_decodes_to_itself_within_the_bound(
-    sender: str, seq: int, updates: list[Update], reports: list[Report]
+    sender: str, seq: int, updates: list[MemberUpdate], reports: list[DutyReport]
 ) -> None:
-    message = Message("ack", sender, seq, "", tuple(updates), tuple(reports))
+    message = PeerMessage("ack", sender, seq, "", tuple(updates), tuple(reports))
     data = encode(message, FLEET)
-    assert len(data) <= MOST_BYTES
+    assert len(data) <= MAX_DATAGRAM_BYTES
     back = decode(data, FLEET)
     assert (back.kind, back.sender, back.seq) == ("ack", sender, seq)
     assert back.updates == message.updates[: len(back.updates)]
@@ -148,7 +148,7 @@
 
 def test_a_bare_message_over_the_bound_is_refused() -> None:
     with pytest.raises(CodecError):
-        encode(Message("ping", "x" * 300, 1), FLEET)
+        encode(PeerMessage("ping", "x" * 300, 1), FLEET)
 
 
 CONFIG = Config(
@@ -206,12 +206,12 @@
 
 
 def test_the_file_that_came_before_is_refused_with_what_to_do(tmp_path: Path) -> None:
-    refuse_old({}, tmp_path / "duties.toml")
+    refuse_old_settings_file({}, tmp_path / "duties.toml")
     with pytest.raises(ConfigError, match="EDGE_FLEET"):
-        refuse_old({"EDGE_DUTIES": "x"}, tmp_path / "duties.toml")
+        refuse_old_settings_file({"EDGE_DUTIES": "x"}, tmp_path / "duties.toml")
     (tmp_path / "duties.toml").write_text("enabled = false\n")
     with pytest.raises(ConfigError, match=r"duties\.toml is no longer read"):
-        refuse_old({}, tmp_path / "duties.toml")
+        refuse_old_settings_file({}, tmp_path / "duties.toml")
 
 
 class _Inner:
@@ -240,11 +240,11 @@
     now = clock.now_ms()
     node.receive(
         now,
-        Message(
+        PeerMessage(
             "report",
             "other",
             0,
-            reports=(Report(theirs.name, "other", now, True), Report(mine.name, "other", now, True)),
+            reports=(DutyReport(theirs.name, "other", now, True), DutyReport(mine.name, "other", now, True)),
         ),
     )
     assert (await shared.health_check(theirs)).result == "ok"
@@ -254,7 +254,7 @@
     clock.advance(node.tuning.interval_ms + 1)
     await shared.health_check(theirs)
     assert inner.checked == [mine.name, theirs.name]  # the report went stale
-    shared.on_report(Report(theirs.name, "other", now, False))
+    shared.on_report(DutyReport(theirs.name, "other", now, False))
     assert posted == [i.HealthCheckResult(theirs.name, "error")]
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -14,18 +14,18 @@
 from beechslip.clock import ManualClock
 from beechslip.config import Address, Config, ConfigError
 from beechslip.counters import Counters
-from beechslip.fleet.codec import MOST_BYTES, CodecError, encode
-from beechslip.fleet.messages import Message
+from beechslip.fleet.codec import MAX_DATAGRAM_BYTES, CodecError, encode
+from beechslip.fleet.messages import PeerMessage
 from beechslip.fleet.settings import FleetConfig, read_fleet
 from beechslip.leases.census import Census
-from beechslip.leases.fence import MOST_NAMES, Fence
+from beechslip.leases.fence import MAX_TASKS, Fence
 from beechslip.leases.messages import (
-    MOST_NAME,
-    MOST_ROUND,
+    MAX_NAME_LENGTH,
+    MAX_ROUND,
     ActMessage,
-    Kind,
+    ActMessageKind,
     LeaseMessage,
-    Verb,
+    LeaseMessageKind,
     decode_act,
     decode_lease,
     encode_act,
@@ -34,7 +34,7 @@
 from beechslip.leases.node import LeaseNode
 from beechslip.leases.part import LeasePart
 from beechslip.leases.paxos import Acceptor, LeaseTuning, Proposer
-from beechslip.leases.quorum import adjoin, majority
+from beechslip.leases.quorum import is_quorum, merge_sets
 from beechslip.leases.tasks import TaskRunner
 from beechslip.peering_builder import build
 from beechslip.platform.backends import BackendClient
@@ -112,75 +112,87 @@
 # The parts ---------------------------------------------------------------------------------------------------
 
 
-def request(kind: Kind, round: int, **more: object) -> LeaseMessage:
+def request(kind: LeaseMessageKind, round: int, **more: object) -> LeaseMessage:
     return LeaseMessage(kind, "x", round, 1, sets=(3,), **more)  # type: ignore[arg-type]
 
 
 def test_an_acceptor_keeps_quiet_and_then_honours_what_it_accepted() -> None:
     acceptor = Acceptor("x", T, 1010.0, (3,), 50)
 
-    def says(at: float, sender: str, message: LeaseMessage) -> Kind | None:
-        reply = acceptor.answer(at, sender, message)
+    def says(at: float, sender: str, message: LeaseMessage) -> LeaseMessageKind | None:
+        reply = acceptor.handle_request(at, sender, message)
         return reply.kind if reply else None
 
-    assert says(1009.0, "d0", request(Kind.PREPARE, 51)) is Kind.REFUSE  # quiet
-    assert says(1010.0, "d0", request(Kind.PREPARE, 50)) is Kind.REFUSE  # no higher than what it knows
+    assert says(1009.0, "d0", request(LeaseMessageKind.PREPARE, 51)) is LeaseMessageKind.REFUSE  # quiet
     assert (
-        says(1010.0, "d0", request(Kind.PROPOSE, 51, lease_ms=1000.0)) is Kind.REFUSE
+        says(1010.0, "d0", request(LeaseMessageKind.PREPARE, 50)) is LeaseMessageKind.REFUSE
+    )  # no higher than what it knows
+    assert (
+        says(1010.0, "d0", request(LeaseMessageKind.PROPOSE, 51, lease_ms=1000.0)) is LeaseMessageKind.REFUSE
     )  # not promised in this incarnation
-    assert says(1010.0, "d0", request(Kind.PREPARE, 51)) is Kind.PROMISE
-    assert says(1010.0, "d0", request(Kind.PROPOSE, 51, lease_ms=1001.0)) is Kind.REFUSE  # over the longest
-    assert says(1011.0, "d0", request(Kind.PROPOSE, 51, lease_ms=1000.0)) is Kind.ACCEPT
-    assert says(2000.0, "d1", request(Kind.PREPARE, 99)) is Kind.REFUSE and acceptor.promised.member == "d0"  # type: ignore[union-attr]
+    assert says(1010.0, "d0", request(LeaseMessageKind.PREPARE, 51)) is LeaseMessageKind.PROMISE
+    assert (
+        says(1010.0, "d0", request(LeaseMessageKind.PROPOSE, 51, lease_ms=1001.0)) is LeaseMessageKind.REFUSE
+    )  # over the longest
+    assert says(1011.0, "d0", request(LeaseMessageKind.PROPOSE, 51, lease_ms=1000.0)) is LeaseMessageKind.ACCEPT
+    assert (
+        says(2000.0, "d1", request(LeaseMessageKind.PREPARE, 99)) is LeaseMessageKind.REFUSE
+        and acceptor.promised.member == "d0"
+    )  # type: ignore[union-attr]
     assert (
-        says(2010.0, "d0", request(Kind.PROPOSE, 51, seq=1, lease_ms=1.0)) is Kind.ACCEPT
+        says(2010.0, "d0", request(LeaseMessageKind.PROPOSE, 51, seq=1, lease_ms=1.0)) is LeaseMessageKind.ACCEPT
     )  # never shorter than before
-    assert acceptor.in_force(2020.0) is not None and acceptor.in_force(2021.1) is None  # 1 % more than was asked
-    assert says(2030.0, "d1", request(Kind.PREPARE, 99)) is Kind.PROMISE
-    assert says(2031.0, "d1", request(Kind.PROPOSE, 99, lease_ms=1000.0)) is Kind.ACCEPT
     assert (
-        says(2032.0, "d0", request(Kind.RELEASE, 51)) is None and acceptor.in_force(2033.0) is not None
+        acceptor.ballot_in_force(2020.0) is not None and acceptor.ballot_in_force(2021.1) is None
+    )  # 1 % more than was asked
+    assert says(2030.0, "d1", request(LeaseMessageKind.PREPARE, 99)) is LeaseMessageKind.PROMISE
+    assert says(2031.0, "d1", request(LeaseMessageKind.PROPOSE, 99, lease_ms=1000.0)) is LeaseMessageKind.ACCEPT
+    assert (
+        says(2032.0, "d0", request(LeaseMessageKind.RELEASE, 51)) is None
+        and acceptor.ballot_in_force(2033.0) is not None
     )  # a late one
-    assert says(2034.0, "d1", request(Kind.RELEASE, 99)) is None and acceptor.in_force(2035.0) is None
+    assert (
+        says(2034.0, "d1", request(LeaseMessageKind.RELEASE, 99)) is None and acceptor.ballot_in_force(2035.0) is None
+    )
 
 
 def test_a_holder_counts_from_before_it_asked_and_only_who_had_opened() -> None:
     p = Proposer("d0", 1, "x", T, (3,), highest=5)
-    assert {to for to, _ in p.begin(100.0)} == {"d0", "d1", "d2"}
-    promise = LeaseMessage(Kind.PROMISE, "x", 6, 1, sets=(3,), open=True)
+    assert {to for to, _ in p.start_attempt(100.0)} == {"d0", "d1", "d2"}
+    promise = LeaseMessage(LeaseMessageKind.PROMISE, "x", 6, 1, sets=(3,), open=True)
     assert p.receive(150.0, "d0", promise) == [] and len(p.receive(160.0, "d1", promise)) == 2
-    accept = LeaseMessage(Kind.ACCEPT, "x", 6, 1, seq=1, sets=(3,))
+    accept = LeaseMessage(LeaseMessageKind.ACCEPT, "x", 6, 1, seq=1, sets=(3,))
     p.receive(170.0, "d2", accept)  # never opened
     p.receive(500.0, "d0", accept)
-    assert p.held(500.0) is None
+    assert p.held_token(500.0) is None
     p.receive(900.0, "d1", accept)
-    assert p.held(900.0) == 6 and p.deadline_ms == 1160.0 and p.held(1060.0) is None  # less the margin
+    assert p.held_token(900.0) == 6 and p.deadline_ms == 1160.0 and p.held_token(1060.0) is None  # less the margin
     late = Proposer("d0", 1, "x", T, (3,))
-    late.begin(0.0)
+    late.start_attempt(0.0)
     for name in ("d0", "d1"):
-        late.receive(1.0, name, LeaseMessage(Kind.PROMISE, "x", 1, 1, sets=(3,), open=True))
+        late.receive(1.0, name, LeaseMessage(LeaseMessageKind.PROMISE, "x", 1, 1, sets=(3,), open=True))
     for name in ("d0", "d1"):
-        late.receive(1002.0, name, LeaseMessage(Kind.ACCEPT, "x", 1, 1, seq=1, sets=(3,)))
-    assert late.held(1002.0, 0.0) is None  # its own timer was over before they had all answered
+        late.receive(1002.0, name, LeaseMessage(LeaseMessageKind.ACCEPT, "x", 1, 1, seq=1, sets=(3,)))
+    assert late.held_token(1002.0, 0.0) is None  # its own timer was over before they had all answered
 
 
 def test_quorums_are_majorities_of_each_set_that_binds() -> None:
-    assert majority((5,), {"d0", "d1", "d2"}) and not majority((5,), {"d0", "d1"})
-    assert not majority((5, 8), {"d3", "d4", "d5", "d6", "d7"}) and majority((5, 8), {"d2", "d3", "d4", "d5", "d6"})
-    assert not majority((4,), {"d0", "d1"})
-    assert adjoin((5,), (8,)) == (8, 5) and adjoin((8,), (5, 8)) == (5, 8) and adjoin((8,), (8,)) == (8,)
+    assert is_quorum((5,), {"d0", "d1", "d2"}) and not is_quorum((5,), {"d0", "d1"})
+    assert not is_quorum((5, 8), {"d3", "d4", "d5", "d6", "d7"}) and is_quorum((5, 8), {"d2", "d3", "d4", "d5", "d6"})
+    assert not is_quorum((4,), {"d0", "d1"})
+    assert merge_sets((5,), (8,)) == (8, 5) and merge_sets((8,), (5, 8)) == (5, 8) and merge_sets((8,), (8,)) == (8,)
     moved = Proposer("d0", 1, "x", T, (5,))
-    moved.bind((8,))
+    moved.add_sets((8,))
     assert moved.sets == (5, 8)
 
 
 def test_a_fence_refuses_lower_tokens_and_a_token_of_two() -> None:
     fence = Fence()
-    assert fence.take("x", 5, "d1") and fence.take("x", 5, "d1") and fence.take("x", 7, "d2")
-    assert not fence.take("x", 6, "d1") and not fence.take("x", 7, "d3") and fence.take("y", 1, "d3")
-    for n in range(2 * MOST_NAMES):
-        fence.take(f"n{n}", 1, "d1")
-    assert len(fence.highest) == MOST_NAMES
+    assert fence.accept("x", 5, "d1") and fence.accept("x", 5, "d1") and fence.accept("x", 7, "d2")
+    assert not fence.accept("x", 6, "d1") and not fence.accept("x", 7, "d3") and fence.accept("y", 1, "d3")
+    for n in range(2 * MAX_TASKS):
+        fence.accept(f"n{n}", 1, "d1")
+    assert len(fence.highest) == MAX_TASKS
 
 
 def test_a_receiver_that_knows_a_higher_token_ends_a_holder_that_began_too_low() -> None:
@@ -189,9 +201,9 @@
     runner = TaskRunner(node, [Census("d0", lambda: ["d1"], lambda: ("1", 2), 1000.0)], lambda *_, **__: None)
     node.tick(now)
     node.tick(now + 200)
-    assert node.held("census", now + 200) == 4
-    runner.receive(now + 200, "d1", ActMessage("census", 900, 1, Verb.REFUSED))
-    assert node.held("census", now + 200) is None
+    assert node.held_token("census", now + 200) == 4
+    runner.receive(now + 200, "d1", ActMessage("census", 900, 1, ActMessageKind.REFUSED))
+    assert node.held_token("census", now + 200) is None
     for n in range(40):
         node.tick(now + 250 + 50 * n)
     assert (node.proposers["census"].token or 0) > 900 and node.counts["census.lost"] == 1
@@ -213,15 +225,17 @@
     for _ in range(20):
         now += 50.0
         for to, act in members["d3"].step(now, 9):
-            assert len(encode(Message("act", "d3", 0, body=encode_act(act)), "caroni-feeds")) <= MOST_BYTES
+            assert (
+                len(encode(PeerMessage("act", "d3", 0, body=encode_act(act)), "caroni-feeds")) <= MAX_DATAGRAM_BYTES
+            )
             if to != "d7":  # d7 is dead
-                body = members[to].take(now, "d3", decode_act(encode_act(act)))
-                members["d3"].answer(now, to, ActMessage("census", 9, act.seq, Verb.TAKEN, body))
+                body = members[to].execute(now, "d3", decode_act(encode_act(act)))
+                members["d3"].handle_answer(now, to, ActMessage("census", 9, act.seq, ActMessageKind.TAKEN, body))
     for name in set(names) - {"d7"}:
         one = members[name]
-        assert set(one.published) == set(range(25)) - {7} and one.missing == 0 and one.token == 9
-        assert one.published[20] == ("0.1.0", 20)
-    assert members["d7"].published == {}
+        assert set(one.published_entries) == set(range(25)) - {7} and one.missing_entries == 0 and one.token == 9
+        assert one.published_entries[20] == ("0.1.0", 20)
+    assert members["d7"].published_entries == {}
 
 
 def test_checkers_pass_what_is_right_and_name_what_is_not() -> None:
@@ -246,17 +260,17 @@
 
 # Bad input ---------------------------------------------------------------------------------------------------
 
-_name = st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=MOST_NAME)
+_name = st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=MAX_NAME_LENGTH)
 _lease = st.builds(
     LeaseMessage,
-    st.sampled_from(Kind),
+    st.sampled_from(LeaseMessageKind),
     _name,
-    st.integers(1, MOST_ROUND - 1),
+    st.integers(1, MAX_ROUND - 1),
     st.integers(0, 2**63 - 1),
     st.integers(0, 2**31),
     st.lists(st.integers(1, 500), max_size=4).map(tuple),
     st.booleans(),
-    st.integers(0, MOST_ROUND - 1),
+    st.integers(0, MAX_ROUND - 1),
     st.floats(0, 1e6),
     st.booleans(),
     _name,
@@ -267,7 +281,7 @@
 def test_a_lease_message_goes_through_its_bytes_within_the_bound(message: LeaseMessage) -> None:
     body = encode_lease(message)
     assert decode_lease(body) == message
-    assert len(encode(Message("lease", "d199", 0, body=body), "caroni-feeds")) <= MOST_BYTES
+    assert len(encode(PeerMessage("lease", "d199", 0, body=body), "caroni-feeds")) <= MAX_DATAGRAM_BYTES
 
 
 @given(st.binary(max_size=200))
@@ -278,17 +292,17 @@
     clock, counters = ManualClock(), Counters()
     node = LeaseNode("d0", (3,), ("x",), clock.steady_ms(), 1, tuning=T)
     part = LeasePart(node, TaskRunner(node, [], lambda *_, **__: None), None, clock, counters)
-    part.receive(clock.steady_ms(), Message("lease", "d1", 0, body=data))
-    part.receive(clock.steady_ms(), Message("act", "d1", 0, body=data))
-    assert node.held("x", clock.steady_ms()) is None and set(node.proposers) == {"x"}
+    part.receive(clock.steady_ms(), PeerMessage("lease", "d1", 0, body=data))
+    part.receive(clock.steady_ms(), PeerMessage("act", "d1", 0, body=data))
+    assert node.held_token("x", clock.steady_ms()) is None and set(node.proposers) == {"x"}
 
 
 def test_every_injected_fault_says_what_it_is_and_is_reverted() -> None:
-    before = {n: (Proposer.__dict__["held"], Acceptor.__dict__["answer"]) for n in registered("leases")}
+    before = {n: (Proposer.__dict__["held_token"], Acceptor.__dict__["handle_request"]) for n in registered("leases")}
     for name, fault in registered("leases").items():
         with inject(name):
             assert fault.description
-        assert (Proposer.__dict__["held"], Acceptor.__dict__["answer"]) == before[name]
+        assert (Proposer.__dict__["held_token"], Acceptor.__dict__["handle_request"]) == before[name]
 
 
 # A reload ----------------------------------------------------------------------------------------------------
--- a/tests/test_region_node.py
+++ b/tests/test_region_node.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beechslip.fleet.codec import MOST_BYTES, CodecError, encode
-from beechslip.fleet.messages import Message
+from beechslip.fleet.codec import MAX_DATAGRAM_BYTES, CodecError, encode
+from beechslip.fleet.messages import PeerMessage
 from beechslip.regions.failure_evidence import RegionStatistics
 from beechslip.regions.messages import (
     MAX_ORDER_REGIONS,
@@ -124,7 +124,7 @@
     ):
         data = encode_region(message)
         assert decode_region(data) == message
-        assert len(encode(Message("region", "d511", 0, body=data), "caroni-feeds")) <= MOST_BYTES
+        assert len(encode(PeerMessage("region", "d511", 0, body=data), "caroni-feeds")) <= MAX_DATAGRAM_BYTES
 
 
 def test_the_binary_form_of_messages_is_stable() -> None:
--- a/tests/test_region_part.py
+++ b/tests/test_region_part.py
@@ -17,7 +17,7 @@
 from beechslip.core.messages import PurgeReceived
 from beechslip.core.model import AttemptRequest, AttemptResult, Backend, ClientRequest, Result
 from beechslip.counters import Counters
-from beechslip.fleet.messages import Message
+from beechslip.fleet.messages import PeerMessage
 from beechslip.fleet.settings import read_fleet
 from beechslip.leases.settings import read_leases
 from beechslip.platform.ops import OpsFront
@@ -99,10 +99,10 @@
     return part
 
 
-def order_datagram(epoch: int, status: RegionStatus) -> Message:
+def order_datagram(epoch: int, status: RegionStatus) -> PeerMessage:
     """An order of the coordinator ``d1`` for the station's caches."""
     order = CoordinatorOrder(5, epoch, {region_id("cache:edge-1"): status})
-    return Message("region", "d1", 0, body=encode_region(order))
+    return PeerMessage("region", "d1", 0, body=encode_region(order))
 
 
 @run
@@ -133,7 +133,7 @@
         await stand.ask(target="/rpc/waveform/1?slice=0")
         headers = [fields for backend in backends[:2] for _, fields, _ in backend.seen]
         assert {int(fields["X-Age-Cap"]) for fields in headers if "X-Age-Cap" in fields} == {300}
-        assert regions.receive(0.0, Message("region", "d1", 0, body=b"odd")) == []
+        assert regions.receive(0.0, PeerMessage("region", "d1", 0, body=b"odd")) == []
         assert stand.counters["region.bad"] == 1
         assert stand.counters["region.taken"] == 2
         assert regions.state()["epoch"] == 2
--- a/tests/test_stored_leases.py
+++ b/tests/test_stored_leases.py
@@ -115,10 +115,10 @@
     for each in (one, two):
         each.want("x", 0.0)
         each.tick()
-    while two.held("x", now[0]) is None:
+    while two.held_token("x", now[0]) is None:
         now[0] += 50.0
         two.tick()
-        assert now[0] < 2000.0 and not (one.held("x", now[0]) and two.held("x", now[0]))
+        assert now[0] < 2000.0 and not (one.held_token("x", now[0]) and two.held_token("x", now[0]))
     assert now[0] >= 1000.0
 
 
@@ -128,23 +128,23 @@
     for each in (one, two):
         each.want("x", 0.0)
         each.tick()
-    assert one.held("x", now[0]) == 1 and two.held("x", now[0]) is None
+    assert one.held_token("x", now[0]) == 1 and two.held_token("x", now[0]) is None
     for _ in range(60):
         now[0] += 50.0
         one.tick()
         two.tick()
-    assert one.held("x", now[0]) == 1 and two.counts["refused"] > 10
+    assert one.held_token("x", now[0]) == 1 and two.counts["refused"] > 10
     one.release("x")
-    assert one.held("x", now[0]) is None
+    assert one.held_token("x", now[0]) is None
     now[0] += 100.0
     two.tick()
-    assert two.held("x", now[0]) == 2
+    assert two.held_token("x", now[0]) == 2
     two.observe_token("x", 40)
-    assert two.held("x", now[0]) is None
+    assert two.held_token("x", now[0]) is None
     for _ in range(40):
         now[0] += 50.0
         two.tick()
-    assert (two.held("x", now[0]) or 0) > 40
+    assert (two.held_token("x", now[0]) or 0) > 40
 
 
 def test_on_a_full_disk_nobody_takes_a_lease_and_a_holder_loses_it_by_its_own_clock(tmp_path: Path) -> None:
@@ -154,11 +154,11 @@
     one = StoredLeases("d0", 1, database, lambda: now[0], T)
     one.want("x", 0.0)
     one.tick()
-    assert one.held("x", 0.0) is None and one.counts["store_failed"] == 1  # no room for the table of leases
+    assert one.held_token("x", 0.0) is None and one.counts["store_failed"] == 1  # no room for the table of leases
     database.run("PRAGMA max_page_count = 1000")
     now[0] += 100.0
     one.tick()
-    assert one.held("x", now[0]) == 1
+    assert one.held_token("x", now[0]) == 1
 
     class Full:
         def run(self, sql: str, **values: Any) -> list[tuple[Any, ...]]:
@@ -170,9 +170,9 @@
     for _ in range(21):
         now[0] += 50.0
         one.tick()
-    assert one.held("x", now[0]) is None and one.counts["lost"] == 1 and one.counts["store_failed"] > 1
+    assert one.held_token("x", now[0]) is None and one.counts["lost"] == 1 and one.counts["store_failed"] > 1
     one.rows = database
     now[0] += 100.0
     one.tick()
-    assert one.held("x", now[0]) == 1  # the row was its own all the while: the same tenure goes on
+    assert one.held_token("x", now[0]) == 1  # the row was its own all the while: the same tenure goes on
     database.close()
