--- a/beechslip/fleet/peers.py
+++ b/beechslip/fleet/peers.py
@@ -159,6 +159,4 @@
 
     def error_received(self, exc: Exception) -> None:
         """Count a failed send. Datagrams are not sent again here."""
-        self.counters.add(
-            "fleet.send_failed"
-        )  # for example no process listens on the port; loss of datagrams is expected
+        self.counters.add("fleet.send_failed")  # for example, no process listens on the port; losses are expected
--- a/beechslip/leases/census.py
+++ b/beechslip/leases/census.py
@@ -23,9 +23,7 @@
 REQUEST_MARKER = b"?"  # the body of a request for a member's entry
 CHUNK_MARKER = b"!"  # the first byte of a chunk
 ENTRY_FORMAT = struct.Struct("!H8sI")  # the member's number, its version, the digest of its settings
-CHUNK_HEADER_FORMAT = struct.Struct(
-    "!cHH"
-)  # the marker, the number of entries in all chunks, the index of the first entry of this one
+CHUNK_HEADER_FORMAT = struct.Struct("!cHH")  # marker, number of entries in all chunks, index of the first one here
 MAX_VERSION_BYTES = 8
 ENTRIES_PER_CHUNK = 10
 REQUESTS_PER_STEP = 16
--- a/beechslip/leases/messages.py
+++ b/beechslip/leases/messages.py
@@ -49,9 +49,8 @@
     RELEASE = 6
 
 
-REQUEST_KINDS = frozenset(
-    {LeaseMessageKind.PREPARE, LeaseMessageKind.PROPOSE, LeaseMessageKind.RELEASE}
-)  # sent to acceptors; the other kinds are sent to proposers
+# Sent to acceptors; the other kinds are sent to proposers.
+REQUEST_KINDS = frozenset({LeaseMessageKind.PREPARE, LeaseMessageKind.PROPOSE, LeaseMessageKind.RELEASE})
 
 
 @dataclass(frozen=True, slots=True)
--- a/beechslip/leases/paxos.py
+++ b/beechslip/leases/paxos.py
@@ -220,9 +220,8 @@
             return []
         spent_ms = now_ms - self.attempt_began_ms
         if self.is_outbid and self.deadline_ms > now_ms and spent_ms > self.tuning.attempt_ms / REBALLOT_DIVISOR:
-            return self.start_attempt(
-                now_ms
-            )  # too few acceptors are left that have not promised another member since
+            # Too few acceptors are left that have not promised another member since.
+            return self.start_attempt(now_ms)
         out = self._prepare_messages(self._binding_members() - self.open_acceptors)
         if self.is_proposing:
             out += [
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: two holders never act at once, in virtual time, over all interleavings, and piece by piece."""
+"""Tests of the leases: in virtual time, by a search over all interleavings, and of each class by itself."""
 
 from __future__ import annotations
 
@@ -46,18 +46,21 @@
 from lab.virtual import VirtualFleet, play
 from lab.virtual_plan import LEASE, Net, Plan, schedule
 
-T = LeaseTuning(1000.0, 1000.0, 100.0, 0.01)
+TUNING = LeaseTuning(1000.0, 1000.0, 100.0, 0.01)
 
 # Virtual time and the search ---------------------------------------------------------------------------------
 
 
-def test_no_seed_finds_two_holders_or_a_falling_token() -> None:
+def test_runs_in_virtual_time_have_no_two_holders_and_no_falling_token() -> None:
     outcomes = [play(seed) for seed in range(120)]
     assert [(o.seed, o.violations) for o in outcomes if o.violations] == []
-    assert sum(o.handovers for o in outcomes) > 200 and sum(o.acts for o in outcomes) > 10_000  # not idle
+    assert (
+        sum(o.handovers for o in outcomes) > 200 and sum(o.acts for o in outcomes) > 10_000
+    )  # the runs did something
 
 
-# One seed that each injected fault is found by; any-promise needs an order too rare for seeds: the search has it.
+# One seed for each injected fault that finds it. Only the search finds any-promise: the order of events that it needs
+# is too rare for a seed.
 @pytest.mark.parametrize(
     ("fault", "seed", "rule"),
     [
@@ -70,123 +73,135 @@
         ("low-tokens", 4, "token-falls"),
     ],
 )
-def test_an_injected_fault_is_found_in_virtual_time(fault: str, seed: int, rule: str) -> None:
+def test_a_run_in_virtual_time_finds_the_injected_fault(fault: str, seed: int, rule: str) -> None:
     assert any(v.startswith(rule) for v in play(seed, fault).violations)
-    assert play(seed).violations == ()  # and it was the fault
+    assert play(seed).violations == ()  # without the fault nothing is found
 
 
-def test_a_set_that_grows_without_naming_the_one_before_is_found() -> None:
+def test_a_run_finds_two_holders_if_a_member_set_grows_without_naming_the_previous_one() -> None:
     fleet = VirtualFleet(dataclasses.replace(schedule(63), before=False), 63)
     assert any(v.rule == "two-holders" for v in fleet.run().violations)
     assert play(63).violations == ()
 
 
-def test_a_run_replays_exactly_from_its_seed() -> None:
+def test_a_run_is_reproduced_exactly_by_its_seed() -> None:
     assert play(7) == play(7)
 
 
-def test_every_interleaving_within_bounds_has_one_holder() -> None:
+def test_search_finds_at_most_one_holder_in_every_interleaving_within_bounds() -> None:
     found = Search(Bounds(units=1, restarts=0)).run()
     assert found.complete and not found.violation and found.states > 50_000
 
 
 @pytest.mark.parametrize("fault", ["no-quiet", "timer-at-answer", "any-promise"])
-def test_the_search_finds_injected_faults(fault: str) -> None:
+def test_search_finds_the_injected_fault(fault: str) -> None:
     with inject(fault):
         found = Search(Bounds(units=1, restarts=int(fault != "timer-at-answer"))).run(deep=True)
     assert "two holders" in found.violation
 
 
-def test_a_dead_holder_is_followed_within_many_times_the_stated_bound() -> None:
+def test_another_member_takes_the_lease_of_a_dead_holder_within_five_lease_times() -> None:
     plan = Plan(5, ("t0",), 12_000.0, Net(), [(4_000.0, "holder", [(0.0, "kill")])])
     fleet = VirtualFleet(plan, 1)
     fleet.keep = True
     fleet.run()
-    took = [e["t"] for e in fleet.events if e["kind"] == "hold" and e["t"] > 4_000]
-    assert took and took[0] - 4_000 < 5 * LEASE.lease_ms
+    taken_at_ms = [e["t"] for e in fleet.events if e["kind"] == "hold" and e["t"] > 4_000]
+    assert taken_at_ms and taken_at_ms[0] - 4_000 < 5 * LEASE.lease_ms
     assert {e["member"] for e in fleet.events if e["kind"] == "hold" and e["t"] > 4_000} != {
         e["member"] for e in fleet.events if e["kind"] == "hold" and e["t"] < 4_000
     }
 
 
-# The parts ---------------------------------------------------------------------------------------------------
+# Single classes ----------------------------------------------------------------------------------------------
 
 
-def request(kind: LeaseMessageKind, round: int, **more: object) -> LeaseMessage:
+def make_request(kind: LeaseMessageKind, round: int, **more: object) -> LeaseMessage:
     return LeaseMessage(kind, "x", round, 1, sets=(3,), **more)  # type: ignore[arg-type]
 
 
-def test_an_acceptor_keeps_quiet_and_then_honours_what_it_accepted() -> None:
-    acceptor = Acceptor("x", T, 1010.0, (3,), 50)
+def test_acceptor_refuses_while_quiet_and_then_keeps_to_what_it_accepted() -> None:
+    acceptor = Acceptor("x", TUNING, 1010.0, (3,), 50)
 
-    def says(at: float, sender: str, message: LeaseMessage) -> LeaseMessageKind | None:
+    def reply_kind(at: float, sender: str, message: LeaseMessage) -> LeaseMessageKind | None:
         reply = acceptor.handle_request(at, sender, message)
         return reply.kind if reply else None
 
-    assert says(1009.0, "d0", request(LeaseMessageKind.PREPARE, 51)) is LeaseMessageKind.REFUSE  # quiet
+    assert reply_kind(1009.0, "d0", make_request(LeaseMessageKind.PREPARE, 51)) is LeaseMessageKind.REFUSE  # quiet
     assert (
-        says(1010.0, "d0", request(LeaseMessageKind.PREPARE, 50)) is LeaseMessageKind.REFUSE
-    )  # no higher than what it knows
+        reply_kind(1010.0, "d0", make_request(LeaseMessageKind.PREPARE, 50)) is LeaseMessageKind.REFUSE
+    )  # not above the highest round it knows
     assert (
-        says(1010.0, "d0", request(LeaseMessageKind.PROPOSE, 51, lease_ms=1000.0)) is LeaseMessageKind.REFUSE
+        reply_kind(1010.0, "d0", make_request(LeaseMessageKind.PROPOSE, 51, lease_ms=1000.0))
+        is LeaseMessageKind.REFUSE
     )  # not promised in this incarnation
-    assert says(1010.0, "d0", request(LeaseMessageKind.PREPARE, 51)) is LeaseMessageKind.PROMISE
+    assert reply_kind(1010.0, "d0", make_request(LeaseMessageKind.PREPARE, 51)) is LeaseMessageKind.PROMISE
+    assert (
+        reply_kind(1010.0, "d0", make_request(LeaseMessageKind.PROPOSE, 51, lease_ms=1001.0))
+        is LeaseMessageKind.REFUSE
+    )  # above the longest lease time
     assert (
-        says(1010.0, "d0", request(LeaseMessageKind.PROPOSE, 51, lease_ms=1001.0)) is LeaseMessageKind.REFUSE
-    )  # over the longest
-    assert says(1011.0, "d0", request(LeaseMessageKind.PROPOSE, 51, lease_ms=1000.0)) is LeaseMessageKind.ACCEPT
+        reply_kind(1011.0, "d0", make_request(LeaseMessageKind.PROPOSE, 51, lease_ms=1000.0))
+        is LeaseMessageKind.ACCEPT
+    )
     assert (
-        says(2000.0, "d1", request(LeaseMessageKind.PREPARE, 99)) is LeaseMessageKind.REFUSE
+        reply_kind(2000.0, "d1", make_request(LeaseMessageKind.PREPARE, 99)) is LeaseMessageKind.REFUSE
         and acceptor.promised.member == "d0"
     )  # type: ignore[union-attr]
     assert (
-        says(2010.0, "d0", request(LeaseMessageKind.PROPOSE, 51, seq=1, lease_ms=1.0)) is LeaseMessageKind.ACCEPT
+        reply_kind(2010.0, "d0", make_request(LeaseMessageKind.PROPOSE, 51, seq=1, lease_ms=1.0))
+        is LeaseMessageKind.ACCEPT
     )  # never shorter than before
     assert (
         acceptor.ballot_in_force(2020.0) is not None and acceptor.ballot_in_force(2021.1) is None
-    )  # 1 % more than was asked
-    assert says(2030.0, "d1", request(LeaseMessageKind.PREPARE, 99)) is LeaseMessageKind.PROMISE
-    assert says(2031.0, "d1", request(LeaseMessageKind.PROPOSE, 99, lease_ms=1000.0)) is LeaseMessageKind.ACCEPT
+    )  # 1 % longer than requested
+    assert reply_kind(2030.0, "d1", make_request(LeaseMessageKind.PREPARE, 99)) is LeaseMessageKind.PROMISE
     assert (
-        says(2032.0, "d0", request(LeaseMessageKind.RELEASE, 51)) is None
+        reply_kind(2031.0, "d1", make_request(LeaseMessageKind.PROPOSE, 99, lease_ms=1000.0))
+        is LeaseMessageKind.ACCEPT
+    )
+    assert (
+        reply_kind(2032.0, "d0", make_request(LeaseMessageKind.RELEASE, 51)) is None
         and acceptor.ballot_in_force(2033.0) is not None
-    )  # a late one
+    )  # a late release of an earlier ballot
     assert (
-        says(2034.0, "d1", request(LeaseMessageKind.RELEASE, 99)) is None and acceptor.ballot_in_force(2035.0) is None
+        reply_kind(2034.0, "d1", make_request(LeaseMessageKind.RELEASE, 99)) is None
+        and acceptor.ballot_in_force(2035.0) is None
     )
 
 
-def test_a_holder_counts_from_before_it_asked_and_only_who_had_opened() -> None:
-    p = Proposer("d0", 1, "x", T, (3,), highest=5)
-    assert {to for to, _ in p.start_attempt(100.0)} == {"d0", "d1", "d2"}
+def test_proposer_counts_the_lease_time_from_before_its_request_and_only_accepts_of_open_acceptors() -> None:
+    proposer = Proposer("d0", 1, "x", TUNING, (3,), highest=5)
+    assert {to for to, _ in proposer.start_attempt(100.0)} == {"d0", "d1", "d2"}
     promise = LeaseMessage(LeaseMessageKind.PROMISE, "x", 6, 1, sets=(3,), open=True)
-    assert p.receive(150.0, "d0", promise) == [] and len(p.receive(160.0, "d1", promise)) == 2
+    assert proposer.receive(150.0, "d0", promise) == [] and len(proposer.receive(160.0, "d1", promise)) == 2
     accept = LeaseMessage(LeaseMessageKind.ACCEPT, "x", 6, 1, seq=1, sets=(3,))
-    p.receive(170.0, "d2", accept)  # never opened
-    p.receive(500.0, "d0", accept)
-    assert p.held_token(500.0) is None
-    p.receive(900.0, "d1", accept)
-    assert p.held_token(900.0) == 6 and p.deadline_ms == 1160.0 and p.held_token(1060.0) is None  # less the margin
-    late = Proposer("d0", 1, "x", T, (3,))
+    proposer.receive(170.0, "d2", accept)  # it did not send an open promise
+    proposer.receive(500.0, "d0", accept)
+    assert proposer.held_token(500.0) is None
+    proposer.receive(900.0, "d1", accept)
+    assert (
+        proposer.held_token(900.0) == 6 and proposer.deadline_ms == 1160.0 and proposer.held_token(1060.0) is None
+    )  # 1160 minus the margin
+    late = Proposer("d0", 1, "x", TUNING, (3,))
     late.start_attempt(0.0)
     for name in ("d0", "d1"):
         late.receive(1.0, name, LeaseMessage(LeaseMessageKind.PROMISE, "x", 1, 1, sets=(3,), open=True))
     for name in ("d0", "d1"):
         late.receive(1002.0, name, LeaseMessage(LeaseMessageKind.ACCEPT, "x", 1, 1, seq=1, sets=(3,)))
-    assert late.held_token(1002.0, 0.0) is None  # its own timer was over before they had all answered
+    assert late.held_token(1002.0, 0.0) is None  # its timer was over before a majority had answered
 
 
-def test_quorums_are_majorities_of_each_set_that_binds() -> None:
+def test_quorum_is_a_majority_of_each_binding_set() -> None:
     assert is_quorum((5,), {"d0", "d1", "d2"}) and not is_quorum((5,), {"d0", "d1"})
     assert not is_quorum((5, 8), {"d3", "d4", "d5", "d6", "d7"}) and is_quorum((5, 8), {"d2", "d3", "d4", "d5", "d6"})
     assert not is_quorum((4,), {"d0", "d1"})
     assert merge_sets((5,), (8,)) == (8, 5) and merge_sets((8,), (5, 8)) == (5, 8) and merge_sets((8,), (8,)) == (8,)
-    moved = Proposer("d0", 1, "x", T, (5,))
-    moved.add_sets((8,))
-    assert moved.sets == (5, 8)
+    growing = Proposer("d0", 1, "x", TUNING, (5,))
+    growing.add_sets((8,))
+    assert growing.sets == (5, 8)
 
 
-def test_a_fence_refuses_lower_tokens_and_a_token_of_two() -> None:
+def test_fence_refuses_lower_tokens_and_the_same_token_of_a_second_holder() -> None:
     fence = Fence()
     assert fence.accept("x", 5, "d1") and fence.accept("x", 5, "d1") and fence.accept("x", 7, "d2")
     assert not fence.accept("x", 6, "d1") and not fence.accept("x", 7, "d3") and fence.accept("y", 1, "d3")
@@ -195,9 +210,9 @@
     assert len(fence.highest) == MAX_TASKS
 
 
-def test_a_receiver_that_knows_a_higher_token_ends_a_holder_that_began_too_low() -> None:
+def test_holder_loses_the_lease_if_a_receiver_knows_a_higher_token() -> None:
     now = 5000.0
-    node = LeaseNode("d0", (1,), ("census",), 0.0, 1, 3, T)
+    node = LeaseNode("d0", (1,), ("census",), 0.0, 1, 3, TUNING)
     runner = TaskRunner(node, [Census("d0", lambda: ["d1"], lambda: ("1", 2), 1000.0)], lambda *_, **__: None)
     node.tick(now)
     node.tick(now + 200)
@@ -209,7 +224,7 @@
     assert (node.proposers["census"].token or 0) > 900 and node.counts["census.lost"] == 1
 
 
-def test_a_census_counts_all_that_answer_and_is_published_in_chunks() -> None:
+def test_census_collects_all_answers_and_is_published_in_chunks() -> None:
     names = [f"d{n}" for n in range(25)]
     members = {
         name: Census(
@@ -232,13 +247,17 @@
                 body = members[to].execute(now, "d3", decode_act(encode_act(act)))
                 members["d3"].handle_answer(now, to, ActMessage("census", 9, act.seq, ActMessageKind.TAKEN, body))
     for name in set(names) - {"d7"}:
-        one = members[name]
-        assert set(one.published_entries) == set(range(25)) - {7} and one.missing_entries == 0 and one.token == 9
-        assert one.published_entries[20] == ("0.1.0", 20)
+        member = members[name]
+        assert (
+            set(member.published_entries) == set(range(25)) - {7}
+            and member.missing_entries == 0
+            and member.token == 9
+        )
+        assert member.published_entries[20] == ("0.1.0", 20)
     assert members["d7"].published_entries == {}
 
 
-def test_checkers_pass_what_is_right_and_name_what_is_not() -> None:
+def test_lease_checker_accepts_valid_histories_and_names_the_violated_rule() -> None:
     def hold(t: float, who: str, token: int, until: float) -> dict[str, object]:
         return {
             "t": t,
@@ -253,18 +272,18 @@
 
     first, second = hold(0, "d0", 1, 100), hold(90, "d1", 2, 200)
     assert [v.rule for v in check_leases([first, second]).violations] == ["two-holders"]
-    let_go = {"t": 80, "member": "d0", "life": 1, "kind": "released", "name": "x", "token": 1}
-    assert check_leases([second, let_go, first]).violations == []
+    released = {"t": 80, "member": "d0", "life": 1, "kind": "released", "name": "x", "token": 1}
+    assert check_leases([second, released, first]).violations == []
     assert [v.rule for v in check_leases([first, hold(150, "d1", 1, 300)]).violations] == ["token-falls"]
 
 
-# Bad input ---------------------------------------------------------------------------------------------------
+# Invalid input -----------------------------------------------------------------------------------------------
 
-_name = st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=MAX_NAME_LENGTH)
-_lease = st.builds(
+_names = st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=MAX_NAME_LENGTH)
+_lease_messages = st.builds(
     LeaseMessage,
     st.sampled_from(LeaseMessageKind),
-    _name,
+    _names,
     st.integers(1, MAX_ROUND - 1),
     st.integers(0, 2**63 - 1),
     st.integers(0, 2**31),
@@ -273,31 +292,31 @@
     st.integers(0, MAX_ROUND - 1),
     st.floats(0, 1e6),
     st.booleans(),
-    _name,
+    _names,
 )
 
 
-@given(_lease)
-def test_a_lease_message_goes_through_its_bytes_within_the_bound(message: LeaseMessage) -> None:
+@given(_lease_messages)
+def test_lease_message_is_decoded_as_encoded_and_fits_a_datagram(message: LeaseMessage) -> None:
     body = encode_lease(message)
     assert decode_lease(body) == message
     assert len(encode(PeerMessage("lease", "d199", 0, body=body), "caroni-feeds")) <= MAX_DATAGRAM_BYTES
 
 
 @given(st.binary(max_size=200))
-def test_any_body_is_read_or_counted_and_changes_nothing(data: bytes) -> None:
+def test_any_body_is_decoded_or_counted_and_changes_nothing(data: bytes) -> None:
     for decode in (decode_lease, decode_act):
-        with contextlib.suppress(CodecError):  # anything else (a crash) fails the test
+        with contextlib.suppress(CodecError):  # any other exception fails the test
             decode(data)
     clock, counters = ManualClock(), Counters()
-    node = LeaseNode("d0", (3,), ("x",), clock.steady_ms(), 1, tuning=T)
+    node = LeaseNode("d0", (3,), ("x",), clock.steady_ms(), 1, tuning=TUNING)
     part = LeasePart(node, TaskRunner(node, [], lambda *_, **__: None), None, clock, counters)
     part.receive(clock.steady_ms(), PeerMessage("lease", "d1", 0, body=data))
     part.receive(clock.steady_ms(), PeerMessage("act", "d1", 0, body=data))
     assert node.held_token("x", clock.steady_ms()) is None and set(node.proposers) == {"x"}
 
 
-def test_every_injected_fault_says_what_it_is_and_is_reverted() -> None:
+def test_every_injected_fault_has_a_description_and_is_reverted() -> None:
     before = {n: (Proposer.__dict__["held_token"], Acceptor.__dict__["handle_request"]) for n in registered("leases")}
     for name, fault in registered("leases").items():
         with inject(name):
@@ -307,35 +326,35 @@
 
 # A reload ----------------------------------------------------------------------------------------------------
 
-HEAD = 'enabled = true\nnumber = 0\npeers = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"]\n'
+FLEET_HEADER = 'enabled = true\nnumber = 0\npeers = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"]\n'
 
 
-def _fleet(folder: Path, text: str) -> FleetConfig:
+def _read_fleet_file(folder: Path, text: str) -> FleetConfig:
     path = folder / "fleet.toml"
-    path.write_text(HEAD + text)
+    path.write_text(FLEET_HEADER + text)
     fleet = read_fleet(path, Config("n", Address("127.0.0.1", 9), 0, read_settings(SETTINGS)))
     assert fleet is not None
     return fleet
 
 
-def test_a_reload_moves_to_another_set_by_both_and_refuses_what_binds_from_a_start(tmp_path: Path) -> None:
+def test_reload_changes_the_member_set_by_way_of_both_and_refuses_settings_fixed_at_start(tmp_path: Path) -> None:
     lease = "[leases]\nenabled = true\ndrills = ['x']\n"
     clock, config = ManualClock(), Config("n", Address("127.0.0.1", 9), 0, read_settings(SETTINGS))
-    nobody = cast(BackendClient, None)
-    peering = build(_fleet(tmp_path, lease + "members = 3\n"), config, nobody, clock, Counters(), print)
+    no_client = cast(BackendClient, None)
+    peering = build(_read_fleet_file(tmp_path, lease + "members = 3\n"), config, no_client, clock, Counters(), print)
     assert peering.leases is not None
     node = peering.leases.node
     for text, named in ((lease + "longest_ms = 9000\n", "longest_ms"), (lease + "drift = 0.1\n", "drift")):
         with pytest.raises(ConfigError, match=named):
-            peering.reload(_fleet(tmp_path, text), config.settings)
+            peering.reload(_read_fleet_file(tmp_path, text), config.settings)
     with pytest.raises(ConfigError, match="number"):
-        peering.reload(dataclasses.replace(_fleet(tmp_path, lease), number=1), config.settings)
+        peering.reload(dataclasses.replace(_read_fleet_file(tmp_path, lease), number=1), config.settings)
     assert node.proposers["x"].sets == node.acceptors["x"].sets == (3,)
-    peering.reload(_fleet(tmp_path, lease + "members = 4\n"), config.settings)
+    peering.reload(_read_fleet_file(tmp_path, lease + "members = 4\n"), config.settings)
     assert node.proposers["x"].sets == node.acceptors["x"].sets == (3, 4)
     for members in (2, 1):
-        peering.reload(_fleet(tmp_path, lease + f"members = {members}\n"), config.settings)
+        peering.reload(_read_fleet_file(tmp_path, lease + f"members = {members}\n"), config.settings)
     with pytest.raises(ConfigError, match="under way"):
-        peering.reload(_fleet(tmp_path, lease + "members = 3\n"), config.settings)
+        peering.reload(_read_fleet_file(tmp_path, lease + "members = 3\n"), config.settings)
     page = peering.leases.state()
     assert page["member"] == "d0" and page["leases"]["x"]["sets"] == [3, 4, 2, 1]  # type: ignore[index]
--- a/tests/test_stored_leases.py
+++ b/tests/test_stored_leases.py
@@ -1,4 +1,4 @@
-"""Leases over a store of record: SQLite for real, PostgreSQL by its stand-in, with the store failing."""
+"""Tests of leases in a store of record that fails at times: a real SQLite, and a stand-in for PostgreSQL."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from lab.check import LeaseChecker
 from tests.pg_stand import PASSWORD, PgStand
 
-T = LeaseTuning(1000.0, 1000.0, 100.0, 0.01, 50.0)
+TUNING = LeaseTuning(1000.0, 1000.0, 100.0, 0.01, 50.0)
 
 
-class Faulty:
-    """A store that now and then can't be reached, or loses the answer of what it has committed."""
+class FaultyStore:
+    """A store that at times can't be reached, or commits a statement and loses its answer."""
 
     def __init__(self, rows: Rows, rng: random.Random) -> None:
-        self.rows, self.rng, self.unreachable, self.lost = rows, rng, 0.0, 0.0
+        self.rows, self.rng, self.unreachable_rate, self.lost_answer_rate = rows, rng, 0.0, 0.0
 
     def run(self, sql: str, **values: Any) -> list[tuple[Any, ...]]:
-        if self.rng.random() < self.unreachable:
+        if self.rng.random() < self.unreachable_rate:
             raise StoreError("unreachable")
         done = self.rows.run(sql, **values)
-        if self.rng.random() < self.lost:
+        if self.rng.random() < self.lost_answer_rate:
             raise StoreError("the answer is lost")
         return done
 
@@ -50,12 +50,12 @@
     server.close()
 
 
-def contend(rows: Rows, seed: int, until_ms: float, calm: bool = False) -> LeaseChecker:
-    """Three contenders with drifting clocks; each may stand still, or start anew with nothing."""
+def run_contenders(rows: Rows, seed: int, until_ms: float, is_fault_free: bool = False) -> LeaseChecker:
+    """Run three contenders with drifting clocks. Unless ``is_fault_free``, each may pause, or restart empty."""
     rng, checker, now = random.Random(seed), LeaseChecker(), [0.0]
-    store = Faulty(rows, rng)
-    if not calm:
-        store.unreachable, store.lost = rng.choice((0.0, 0.2)), rng.choice((0.0, 0.3))
+    store = FaultyStore(rows, rng)
+    if not is_fault_free:
+        store.unreachable_rate, store.lost_answer_rate = rng.choice((0.0, 0.2)), rng.choice((0.0, 0.3))
 
     def start(name: str) -> StoredLeases:
         rate, incarnation = rng.uniform(0.995, 1.0), rng.getrandbits(40)
@@ -66,113 +66,121 @@
                     facts[key] = now[0] + (facts[key] - now[0] * rate) / rate
             checker.feed({"t": now[0], "member": name, "life": incarnation, "kind": kind, **facts})
 
-        one = StoredLeases(name, incarnation, store, lambda: now[0] * rate, T, random.Random(incarnation), note)
-        one.want("x", one.now_ms)
-        return one
+        leases = StoredLeases(
+            name, incarnation, store, lambda: now[0] * rate, TUNING, random.Random(incarnation), note
+        )
+        leases.want("x", leases.now_ms)
+        return leases
 
     members = {name: start(name) for name in ("d0", "d1", "d2")}
-    asleep = dict.fromkeys(members, 0.0)
+    asleep_until_ms = dict.fromkeys(members, 0.0)
     while now[0] < until_ms:
         now[0] += 50.0
         for name in members:
-            if not calm and rng.random() < 0.01:
-                asleep[name] = now[0] + rng.uniform(0, 3000)
-            elif not calm and rng.random() < 0.005:
+            if not is_fault_free and rng.random() < 0.01:
+                asleep_until_ms[name] = now[0] + rng.uniform(0, 3000)
+            elif not is_fault_free and rng.random() < 0.005:
                 members[name] = start(name)
-            if now[0] >= asleep[name]:
+            if now[0] >= asleep_until_ms[name]:
                 members[name].tick()
     return checker
 
 
-def test_no_two_hold_at_once_while_the_store_fails(tmp_path: Path) -> None:
+def test_stored_leases_have_one_holder_while_the_store_fails(tmp_path: Path) -> None:
     handovers = 0
     for seed in range(30):
         database = SqliteDatabase(str(tmp_path / f"{seed}.db"))
         database.run("PRAGMA synchronous = OFF")
-        checker = contend(database, seed, 20_000.0)
+        checker = run_contenders(database, seed, 20_000.0)
         database.close()
         assert checker.violations == [], seed
         handovers += checker.counts.get("handovers", 0)
     assert handovers > 30
 
 
-def test_the_checker_finds_a_contender_that_does_not_wait(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    hasty = LeaseTuning(1000.0, 1000.0, 100.0, -0.6, 50.0)  # waits less than a lease time
-    monkeypatch.setitem(globals(), "T", hasty)
+def test_lease_checker_finds_a_contender_that_waits_too_briefly(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    short_wait_tuning = LeaseTuning(
+        1000.0, 1000.0, 100.0, -0.6, 50.0
+    )  # the negative drift makes it wait less than a lease time
+    monkeypatch.setitem(globals(), "TUNING", short_wait_tuning)
     found = 0
     for seed in range(10):
         database = SqliteDatabase(str(tmp_path / f"{seed}.db"))
         database.run("PRAGMA synchronous = OFF")
-        found += any(v.rule == "two-holders" for v in contend(database, seed, 20_000.0).violations)
+        found += any(v.rule == "two-holders" for v in run_contenders(database, seed, 20_000.0).violations)
         database.close()
     assert found > 0
 
 
-def test_a_contender_waits_as_long_as_the_holder_says_whatever_its_own_time_is(rows: Rows) -> None:
+def test_contender_waits_for_the_duration_in_the_row_whatever_its_own_lease_time_is(rows: Rows) -> None:
     now = [0.0]
-    one = StoredLeases("d0", 1, rows, lambda: now[0], T)
-    two = StoredLeases("d1", 1, rows, lambda: now[0], LeaseTuning(300.0, 300.0, 30.0, 0.01, 50.0))
-    for each in (one, two):
-        each.want("x", 0.0)
-        each.tick()
-    while two.held_token("x", now[0]) is None:
+    first = StoredLeases("d0", 1, rows, lambda: now[0], TUNING)
+    second = StoredLeases("d1", 1, rows, lambda: now[0], LeaseTuning(300.0, 300.0, 30.0, 0.01, 50.0))
+    for leases in (first, second):
+        leases.want("x", 0.0)
+        leases.tick()
+    while second.held_token("x", now[0]) is None:
         now[0] += 50.0
-        two.tick()
-        assert now[0] < 2000.0 and not (one.held_token("x", now[0]) and two.held_token("x", now[0]))
+        second.tick()
+        assert now[0] < 2000.0 and not (first.held_token("x", now[0]) and second.held_token("x", now[0]))
     assert now[0] >= 1000.0
 
 
-def test_one_holds_extends_lets_go_and_another_follows(rows: Rows) -> None:
+def test_lease_is_held_extended_released_and_taken_by_another_with_a_higher_token(rows: Rows) -> None:
     now = [0.0]
-    one, two = (StoredLeases(name, 1, rows, lambda: now[0], T) for name in ("d0", "d1"))
-    for each in (one, two):
-        each.want("x", 0.0)
-        each.tick()
-    assert one.held_token("x", now[0]) == 1 and two.held_token("x", now[0]) is None
+    first, second = (StoredLeases(name, 1, rows, lambda: now[0], TUNING) for name in ("d0", "d1"))
+    for leases in (first, second):
+        leases.want("x", 0.0)
+        leases.tick()
+    assert first.held_token("x", now[0]) == 1 and second.held_token("x", now[0]) is None
     for _ in range(60):
         now[0] += 50.0
-        one.tick()
-        two.tick()
-    assert one.held_token("x", now[0]) == 1 and two.counts["refused"] > 10
-    one.release("x")
-    assert one.held_token("x", now[0]) is None
+        first.tick()
+        second.tick()
+    assert first.held_token("x", now[0]) == 1 and second.counts["refused"] > 10
+    first.release("x")
+    assert first.held_token("x", now[0]) is None
     now[0] += 100.0
-    two.tick()
-    assert two.held_token("x", now[0]) == 2
-    two.observe_token("x", 40)
-    assert two.held_token("x", now[0]) is None
+    second.tick()
+    assert second.held_token("x", now[0]) == 2
+    second.observe_token("x", 40)
+    assert second.held_token("x", now[0]) is None
     for _ in range(40):
         now[0] += 50.0
-        two.tick()
-    assert (two.held_token("x", now[0]) or 0) > 40
+        second.tick()
+    assert (second.held_token("x", now[0]) or 0) > 40
 
 
-def test_on_a_full_disk_nobody_takes_a_lease_and_a_holder_loses_it_by_its_own_clock(tmp_path: Path) -> None:
+def test_on_a_full_disk_no_lease_is_taken_and_a_held_one_ends_by_the_clock_of_its_holder(tmp_path: Path) -> None:
     database, now = SqliteDatabase(str(tmp_path / "full.db")), [0.0]
     database.run("CREATE TABLE filler (data TEXT)")
     database.run(f"PRAGMA max_page_count = {database.run('PRAGMA page_count')[0][0]}")
-    one = StoredLeases("d0", 1, database, lambda: now[0], T)
-    one.want("x", 0.0)
-    one.tick()
-    assert one.held_token("x", 0.0) is None and one.counts["store_failed"] == 1  # no room for the table of leases
+    first = StoredLeases("d0", 1, database, lambda: now[0], TUNING)
+    first.want("x", 0.0)
+    first.tick()
+    assert (
+        first.held_token("x", 0.0) is None and first.counts["store_failed"] == 1
+    )  # no space for the table of leases
     database.run("PRAGMA max_page_count = 1000")
     now[0] += 100.0
-    one.tick()
-    assert one.held_token("x", now[0]) == 1
+    first.tick()
+    assert first.held_token("x", now[0]) == 1
 
-    class Full:
+    class FullStore:
         def run(self, sql: str, **values: Any) -> list[tuple[Any, ...]]:
             if sql.startswith("UPDATE"):
                 raise StoreError("database or disk is full")
             return database.run(sql, **values)
 
-    one.rows = Full()
+    first.rows = FullStore()
     for _ in range(21):
         now[0] += 50.0
-        one.tick()
-    assert one.held_token("x", now[0]) is None and one.counts["lost"] == 1 and one.counts["store_failed"] > 1
-    one.rows = database
+        first.tick()
+    assert first.held_token("x", now[0]) is None and first.counts["lost"] == 1 and first.counts["store_failed"] > 1
+    first.rows = database
     now[0] += 100.0
-    one.tick()
-    assert one.held_token("x", now[0]) == 1  # the row was its own all the while: the same tenure goes on
+    first.tick()
+    assert first.held_token("x", now[0]) == 1  # the row still names this holder: it keeps its token
     database.close()
