--- a/beechslip/fleet/codec.py
+++ b/beechslip/fleet/codec.py
@@ -36,7 +36,7 @@
 
 
 class CodecError(ValueError):
-    """The data is not a valid message of this program, or a message can't be encoded; the text gives the reason."""
+    """The data is not a valid message, or a message can't be encoded. The text gives the reason."""
 
 
 _Field = descriptor_pb2.FieldDescriptorProto
@@ -64,10 +64,8 @@
     ("reports", 8, _Field.TYPE_MESSAGE),
     ("body", 9, _Field.TYPE_BYTES),
 )
-_REPEATED = {
-    "updates": "beechslip.fleet.Update",
-    "reports": "beechslip.fleet.Report",
-}  # repeated fields and their types
+# The repeated fields and their types.
+_REPEATED = {"updates": "beechslip.fleet.Update", "reports": "beechslip.fleet.Report"}
 
 
 def _envelope_class() -> type:
--- a/beechslip/fleet/membership.py
+++ b/beechslip/fleet/membership.py
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class _Probe:
-    """The ping of the present protocol period, and what has followed from it."""
+    """The ping of the present protocol period, with its progress."""
 
     target: str
     seq: int
@@ -99,7 +99,7 @@
         self._not_alive: set[str] = set()  # suspect or dead members: the only ones with a time limit
         for name in self.seeds:
             if name != self.me:
-                self._merge(MemberUpdate(name, 0, MemberState.ALIVE), self.now_ms, is_spread=False)
+                self._merge(MemberUpdate(name, 0, MemberState.ALIVE), self.now_ms, is_passed_on=False)
         self._queue_update(MemberUpdate(self.me, self.incarnation, MemberState.ALIVE))
 
     # Queries -----------------------------------------------------------------------------------------------
@@ -269,8 +269,8 @@
 
     # The merge of SWIM 4.2 --------------------------------------------------------------------------------
 
-    def _merge(self, update: MemberUpdate, now_ms: float, is_spread: bool = True) -> None:
-        """Apply ``update`` if it overrides the known state of its member. Pass it on if ``is_spread``."""
+    def _merge(self, update: MemberUpdate, now_ms: float, is_passed_on: bool = True) -> None:
+        """Apply ``update`` if it overrides the known state of its member. Pass it on if ``is_passed_on``."""
         if update.member == self.me:
             self._refute(update)
             return
@@ -282,7 +282,7 @@
         elif overrides(update, member):
             member.apply(update, now_ms)
         else:
-            self._add_accuser(update, member, is_spread)
+            self._add_accuser(update, member, is_passed_on)
             return
         if update.by:
             member.accusers |= {update.by}
@@ -291,7 +291,7 @@
         else:
             self._not_alive.add(update.member)
         self.view_version += 1
-        if is_spread:
+        if is_passed_on:
             self._queue_update(update)
 
     def _refute(self, update: MemberUpdate) -> None:
@@ -313,11 +313,11 @@
         self._order.insert(self.rng.randint(0, len(self._order)), update.member)
         return member
 
-    def _add_accuser(self, update: MemberUpdate, member: Member, is_spread: bool) -> None:
+    def _add_accuser(self, update: MemberUpdate, member: Member, is_passed_on: bool) -> None:
         """Add an accuser of a member that is suspect already. The first few accusers are passed on (Lifeguard)."""
         if member.is_new_accusation(update, self.tuning.accusers):
             member.accusers |= {update.by}
-            if is_spread:
+            if is_passed_on:
                 self._queue_update(update)
 
     # Sending ----------------------------------------------------------------------------------------------
--- a/beechslip/fleet/peers.py
+++ b/beechslip/fleet/peers.py
@@ -129,7 +129,7 @@
                 data = encode(send.message, self.fleet, self.clock.steady_ms())
             except CodecError as error:
                 self.counters.add("fleet.unsendable")
-                log.debug("peer message not sent: %s", error)
+                log.debug("peer message not sent: reason=%s", error)
                 continue
             self._transport.sendto(data, address)
             self.counters.add("fleet.sent")
@@ -142,7 +142,7 @@
             message = decode(data, self.fleet, now)
         except CodecError as error:
             self.counters.add("fleet.bad")
-            log.debug("datagram dropped: from=%s: %s", addr, error)
+            log.debug("datagram dropped: address=%s reason=%s", addr, error)
             return
         if self._names.get((str(addr[0]), addr[1])) != message.sender or message.sender == self.me:
             self.counters.add("fleet.foreign")
--- a/beechslip/fleet/settings.py
+++ b/beechslip/fleet/settings.py
@@ -41,7 +41,7 @@
         return ConfigError(f"{self.where}: {key} {why}")
 
     def number(self, key: str, default: float, least: float = 0.0, most: float = math.inf) -> float:
-        """Return the number, which must be above ``least`` and at most ``most``."""
+        """Return the number at ``key``, which must be above ``least`` and at most ``most``."""
         value = self._values.get(key, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not least < value <= most:
             bound = f" and at most {most:g}" if most < math.inf else ""
@@ -49,28 +49,28 @@
         return float(value)
 
     def integer(self, key: str, default: int, least: int, most: int) -> int:
-        """Return the integer, which must be from ``least`` to ``most``."""
+        """Return the integer at ``key``, which must be from ``least`` to ``most``."""
         value = self._values.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
             raise self.make_error(key, f"must be an integer from {least} to {most}, not {value!r:.40}")
         return value
 
     def boolean(self, key: str, default: bool = False) -> bool:
-        """Return the boolean."""
+        """Return the boolean at ``key``."""
         value = self._values.get(key, default)
         if not isinstance(value, bool):
             raise self.make_error(key, f"must be true or false, not {value!r:.40}")
         return value
 
     def string(self, key: str, default: str = "") -> str:
-        """Return the string."""
+        """Return the string at ``key``."""
         value = self._values.get(key, default)
         if not isinstance(value, str):
             raise self.make_error(key, f"must be a string, not {value!r:.40}")
         return value
 
     def strings(self, key: str, default: tuple[str, ...] = ()) -> tuple[str, ...]:
-        """Return the list of strings, as a tuple."""
+        """Return the list of strings at ``key``, as a tuple."""
         value = self._values.get(key, list(default))
         if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
             raise self.make_error(key, f"must be a list of strings, not {value!r:.40}")
--- a/beechslip/fleet/tuning.py
+++ b/beechslip/fleet/tuning.py
@@ -13,10 +13,10 @@
     ack_timeout_ms: float = 150.0
     extra_pings: int = 2  # further pings in the same period if no ack arrives: cheaper than a false suspicion
     indirect: int = 3  # members that are asked to ping a silent one
-    suspect_ms: float = 1500.0  # how long a peer stays suspect that `accusers` others accuse, too
-    suspect_most_ms: float = 6000.0  # how long a peer stays suspect that a single member accuses
+    suspect_ms: float = 1500.0  # how long a peer stays suspect if `accusers` further members accuse it
+    suspect_most_ms: float = 6000.0  # how long a peer stays suspect if a single member accuses it
     accusers: int = 3
-    max_piggybacked: int = 5  # updates in a message; the codec drops those that, beside reports, exceed 256 bytes
+    max_piggybacked: int = 5  # updates in a message; the codec drops those that exceed 256 bytes beside reports
     retransmit_factor: float = 3.0
     max_members: int = 4096
     forget_ms: float = 60_000.0
--- a/beechslip/leases/census.py
+++ b/beechslip/leases/census.py
@@ -1,12 +1,12 @@
-"""The fleet-wide census: one member collects the versions and settings digests of all, and publishes them. No I/O.
+"""The fleet-wide census: one member collects the versions and settings digests of all, and publishes them.
 
 The holder of the lease sends a request to each member, a few in each step. A member's answer (the ``TAKEN`` of an
 act) contains its version and the digest of its settings. When all members have been requested and ``wait_ms`` has
 passed, the holder publishes the entries under the same token, one chunk in each step. A member that receives a chunk
 with a higher token drops the entries of the lower one.
 
-Bounds: one entry for each declared member. A chunk has ``ENTRIES_PER_CHUNK`` entries, which fit a datagram of 256
-bytes.
+Bounds: there is one entry for each declared member. A chunk has at most ``ENTRIES_PER_CHUNK`` entries, which fit a
+datagram of 256 bytes. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -64,13 +64,13 @@
         self.me = me
         self.every_ms = every_ms
         self.wait_ms = wait_ms
-        self.published_entries: dict[int, MemberEntry] = {}  # by member number: the entries published last, and
-        self.token = 0  # the token and
-        self.holder = ""  # the holder they were published under
-        self.missing_entries = 0  # number of entries of that census not received yet
+        self.published_entries: dict[int, MemberEntry] = {}  # by member number, as published last
+        self.token = 0  # the token of the census published last
+        self.holder = ""  # the member that published it
+        self.missing_count = 0  # number of its entries not received yet
         self._other_members = other_members
         self._version_and_digest = version_and_digest
-        self._counted_entries: dict[int, tuple[bytes, int]] = {}  # by member number: packed version, digest
+        self._collected_entries: dict[int, tuple[bytes, int]] = {}  # by member number: packed version, digest
         self._to_request: list[str] = []
         self._to_publish: list[bytes] = []
         self._phase = _Phase.IDLE
@@ -87,7 +87,7 @@
         ):
             number, version, digest = ENTRY_FORMAT.unpack(message.body)
             if f"d{number}" == sender:
-                self._counted_entries[number] = (version, digest)
+                self._collected_entries[number] = (version, digest)
 
     def execute(self, now_ms: float, sender: str, message: ActMessage) -> bytes:
         """Answer a request with this member's entry, or store a published chunk. A malformed body is ignored."""
@@ -111,7 +111,7 @@
         for number, version, digest in ENTRY_FORMAT.iter_unpack(body[CHUNK_HEADER_FORMAT.size :]):
             text = version.rstrip(b"\0").decode("ascii", "replace")
             self.published_entries[number] = MemberEntry(text, digest)
-        self.missing_entries = max(0, total - len(self.published_entries))
+        self.missing_count = max(0, total - len(self.published_entries))
 
     def step(self, now_ms: float, token: int) -> OutgoingActs:
         """Return the requests to some members or the next chunk to publish, if due."""
@@ -122,15 +122,15 @@
         if now_ms < self._due_ms:
             return []
         if self._phase is _Phase.IDLE:
-            self._begin_count(now_ms)
+            self._start_census(now_ms)
         if self._phase is _Phase.REQUESTING:
             return self._request_batch(now_ms)
         return self._publish_chunk(now_ms)
 
-    def _begin_count(self, now_ms: float) -> None:
+    def _start_census(self, now_ms: float) -> None:
         self._phase = _Phase.REQUESTING
         self._to_request = list(self._other_members())
-        self._counted_entries = {}
+        self._collected_entries = {}
         self.handle_answer(
             now_ms, self.me, ActMessage(TASK_NAME, self._tenure_token, 0, ActMessageKind.TAKEN, self._own_entry())
         )
@@ -146,7 +146,7 @@
 
     def _publish_chunk(self, now_ms: float) -> OutgoingActs:
         if not self._to_publish:
-            self._to_publish = self._chunks()
+            self._to_publish = self._make_chunks()
         chunk = self._to_publish.pop(0)
         self.execute(now_ms, self.me, self._act_message(chunk))
         if not self._to_publish:
@@ -154,9 +154,9 @@
             self._due_ms = now_ms + self.every_ms
         return [OutgoingAct(to, self._act_message(chunk)) for to in self._other_members()]
 
-    def _chunks(self) -> list[bytes]:
+    def _make_chunks(self) -> list[bytes]:
         entries = [
-            ENTRY_FORMAT.pack(number, *self._counted_entries[number]) for number in sorted(self._counted_entries)
+            ENTRY_FORMAT.pack(number, *self._collected_entries[number]) for number in sorted(self._collected_entries)
         ]
         return [
             CHUNK_HEADER_FORMAT.pack(CHUNK_MARKER, len(entries), first)
@@ -169,7 +169,7 @@
         return {
             "token": self.token,
             "holder": self.holder,
-            "missing": self.missing_entries,
+            "missing": self.missing_count,
             "members": {
                 f"d{number}": {"version": entry.version, "settings": f"{entry.digest:08x}"}
                 for number, entry in sorted(self.published_entries.items())
--- a/beechslip/leases/fence.py
+++ b/beechslip/leases/fence.py
@@ -1,8 +1,10 @@
-"""Check of fencing tokens at the receiver of an act: a token lower than one accepted before is refused. No I/O.
+"""Check fencing tokens at the receiver of an act: a token lower than one accepted before is refused.
+
+A lease alone can't stop a holder that is paused between checking the lease and acting, and acts after the lease has
+expired. The fence refuses such a late act. This module does no I/O.
 
 Source: M. Burrows, "The Chubby lock service", OSDI 2006 (sequencers); M. Kleppmann, "How to do distributed
-locking", 2016. A lease can't prevent that its holder is paused between checking the lease and acting, and acts
-after the lease has expired. The fence refuses such a late act.
+locking", 2016.
 """
 
 from __future__ import annotations
@@ -29,7 +31,7 @@
     def accept(self, name: str, token: int, holder: str) -> bool:
         """Record ``token`` and return True if an act of ``holder`` under it may take effect.
 
-        A token always belongs to the same holder: the highest token is refused if another holder sends it, too.
+        A token belongs to one holder for good: the highest token, too, is refused if another holder sends it.
         """
         highest = self.highest.get(name)
         if highest is None and len(self.highest) >= MAX_TASKS:
--- a/beechslip/leases/node.py
+++ b/beechslip/leases/node.py
@@ -1,4 +1,4 @@
-"""All leases of one proxy: when to attempt, extend and back off, and what its acceptors have promised. No I/O.
+"""All leases of one proxy: when to attempt, extend and back off, and what its acceptors have promised.
 
 :class:`LeaseNode` runs one :class:`~.paxos.Acceptor` and one :class:`~.paxos.Proposer` for each lease name, through
 :meth:`tick` and :meth:`receive`. Safety depends on these two alone: whatever this class does, and however late it is
@@ -12,7 +12,7 @@
   attempt is abandoned after ``attempt_ms``, and the wait before the next attempt depends on the rank, too.
 - A holder extends after a third of the lease time, so that two more attempts fit before the lease expires.
 
-Bounds: the tables contain only the lease names given at the start.
+Bounds: the tables contain only the lease names given at the start. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -82,9 +82,7 @@
         self._failed_attempts: dict[str, int] = {}  # by wanted name: consecutive failures
         self._last_holder: dict[str, str] = {}  # by name: the last known holder
         self._rankings: dict[tuple[str, int], list[str]] = {}  # by name and set size: the ranked members
-        self._others_lease_until_ms: dict[
-            str, float
-        ] = {}  # by name: when a lease that another member proposed may end
+        self._others_lease_until_ms: dict[str, float] = {}  # by name: end of a lease proposed by another member
         self._tenures: dict[str, _Tenure] = {}  # by held name: the tenure as last noted
 
     # Queries -----------------------------------------------------------------------------------------------
@@ -143,8 +141,9 @@
     def observe_token(self, name: str, token: int) -> None:
         """Record that another member has seen ``token``.
 
-        A holder under a lower token can't act any more. This happens if the whole fleet has restarted and its clocks
-        were set back. The rounds continue above ``token``, and the lease is taken anew.
+        A holder with a lower token can't act any more, because receivers refuse its acts. This can happen after the
+        whole fleet has restarted and its clocks were set back. The rounds continue above ``token``, and the lease is
+        taken anew.
         """
         proposer = self.proposers.get(name)
         if proposer is None:
@@ -156,7 +155,7 @@
             proposer.deadline_ms = 0.0
 
     def set_declared_size(self, size: int) -> None:
-        """Change the declared set to ``size`` members. A held lease stays held, and is extended by both sets."""
+        """Change the declared set to ``size`` members. A held lease stays held and is extended by both sets."""
         self.sets = (size,)
         for name in self.names:
             self.proposers[name].add_sets((size,))
@@ -210,7 +209,7 @@
         is_blocked = bool(proposer.blocking_holder)
         if proposer.is_outbid and not is_blocked and not proposer.is_proposing and failures <= MAX_IMMEDIATE_RETRIES:
             return False  # the round was too low, and the proposer knows the higher one now
-        # A wait is harmless if there is a holder that this member's acceptor does not know of.
+        # There is no hurry while another member holds a lease that this member's acceptor does not know of.
         backoff_ms = self.rng.uniform(*BLOCKED_BACKOFF) * self.tuning.lease_ms if is_blocked else 0.0
         self._next_action_ms[name] = now_ms + backoff_ms + self._turn_delay_ms(name)
         return True
@@ -249,7 +248,7 @@
         return ranking
 
     def _earliest_attempt_ms(self, now_ms: float, acceptor: Acceptor) -> float:
-        """Return the time until which an attempt would fail, or would only disturb that of another member."""
+        """Return the time (ms) before which an attempt would fail, or would only disturb that of another member."""
         if now_ms < acceptor.quiet_until_ms:
             return acceptor.quiet_until_ms
         if acceptor.ballot_in_force(now_ms) is not None:
@@ -327,10 +326,10 @@
         valid_ms = tenure.deadline_ms - self.tuning.margin_ms
         self.note("hold", name=name, token=tenure.token, until=tenure.deadline_ms, valid=valid_ms)
 
-    def _end_tenure(self, name: str, how: str) -> None:
+    def _end_tenure(self, name: str, event: str) -> None:
         tenure = self._tenures.pop(name)
-        self._count(f"{name}.{how}")
-        self.note(how, name=name, token=tenure.token)
+        self._count(f"{name}.{event}")
+        self.note(event, name=name, token=tenure.token)
 
     def _count(self, counter: str) -> None:
         self.counts[counter] = self.counts.get(counter, 0) + 1
--- a/beechslip/leases/part.py
+++ b/beechslip/leases/part.py
@@ -1,4 +1,4 @@
-"""Leases and their tasks as a part of the peer socket, with their counters and their page for operators."""
+"""Leases and their tasks as a part that uses the peer socket, with their counters and their page for operators."""
 
 from __future__ import annotations
 
@@ -86,10 +86,10 @@
         ]
 
     def _export_counts(self) -> None:
-        """Add to the counters what the counts of the node and the runner have grown by since the last call."""
+        """Add to the counters the growth of the counts of the node and the runner since the last call."""
         for prefix, counts in (("lease.", self.node.counts), ("act.", self.runner.counts)):
-            for what, count in counts.items():
-                grown = count - self._exported_counts.get(prefix + what, 0)
+            for counter_name, count in counts.items():
+                grown = count - self._exported_counts.get(prefix + counter_name, 0)
                 if grown:
-                    self._counters.add(prefix + what, grown)
-                    self._exported_counts[prefix + what] = count
+                    self._counters.add(prefix + counter_name, grown)
+                    self._exported_counts[prefix + counter_name] = count
--- a/beechslip/leases/paxos.py
+++ b/beechslip/leases/paxos.py
@@ -1,4 +1,4 @@
-"""Acceptor and proposer of one lease: PaxosLease, which needs neither a disk nor synchronized clocks. No I/O.
+"""Acceptor and proposer of one lease: PaxosLease, which needs neither a disk nor synchronized clocks.
 
 Source: M. Trencséni, A. Gazsó, H. Reinhardt, "PaxosLease: Diskless Paxos for Leases", 2012. This version is
 stricter in three places, because of the faults that occur in this fleet (``docs/design/leases.md`` has the proof
@@ -13,7 +13,7 @@
 
 Times are in ms by the steady clock of the machine that runs the object. The time elapsed between two events differs
 between any two machines by at most the fraction ``drift``. The proposer starts its timer before it sends the
-proposal; acceptors count ``1 + drift`` times the lease time from when they receive it.
+proposal; acceptors count ``1 + drift`` times the lease time from when they receive it. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
     tuning: LeaseTuning
     quiet_until_ms: float
     sets: tuple[int, ...]
-    highest: int = 0
+    highest: int = 0  # the highest round known
     promised: Ballot | None = None
     promised_at_ms: float = 0.0
     accepted: Ballot | None = None
@@ -148,8 +148,7 @@
         )
 
     def _has_matching_sets(self, request: LeaseMessage) -> bool:
-        """True if the proposer has this acceptor's newest set, and needs majorities of all sets that are binding
-        here."""
+        """True if the proposer has this acceptor's newest set, and asks for majorities of all sets binding here."""
         return (
             bool(request.sets)
             and request.sets[-1] == self.sets[-1]
@@ -166,8 +165,8 @@
     name: str
     tuning: LeaseTuning
     sets: tuple[int, ...]
-    settled: bool = False
-    highest: int = 0
+    settled: bool = False  # no earlier set is binding any more
+    highest: int = 0  # the highest round known
     ballot: Ballot | None = None
     open_acceptors: frozenset[str] = frozenset()  # acceptors that promised with no lease of another member in force
     accepted_by: frozenset[str] = frozenset()
--- a/beechslip/leases/settings.py
+++ b/beechslip/leases/settings.py
@@ -24,7 +24,7 @@
 )
 
 
-TASK_NAMES = frozenset({"census", "budgets", "steward"})  # leases used by the other packages, which no drill may use
+TASK_NAMES = frozenset({"census", "budgets", "steward"})  # leases of the tasks, which no drill may use
 MIN_TICKS_PER_LEASE = 6  # ticks from taking a lease to its margin, so that an extension fits
 
 # Timings derived from the lease time and the tick: the larger of a number of ticks and a fraction of the lease time.
--- a/beechslip/leases/stored.py
+++ b/beechslip/leases/stored.py
@@ -93,10 +93,8 @@
 class StoredLeases:
     """The leases of one holder (``me`` in its incarnation) in a store, read and written by ``rows``.
 
-    Calls block as long as the store does.
-
-    ``note`` is called with each event: hold, lost, released; ``counts`` counts held, lost, released, refused and
-    store_failed.
+    Calls block as long as the store does. ``note`` is called with each event: hold, lost, released.
+    ``counts`` counts held, lost, released, refused and store_failed.
     """
 
     me: str
@@ -160,7 +158,7 @@
     def tick(self) -> None:
         """Extend, take or check each lease that is due. A failure of the store is counted and not raised."""
         now_ms = self.now_ms = self.clock()
-        due = self._due(now_ms)
+        due = self._due_leases(now_ms)
         if not due:
             return
         try:
@@ -171,7 +169,7 @@
         except StoreError:
             self._count("store_failed")
             return
-        read_ms = self.clock()  # read after the answer: the rows are at least that old
+        read_ms = self.clock()  # taken after the answer: the rows were read before this time
         by_name = {str(row[0]): row[1:] for row in rows}
         for name, lease in due:
             try:
@@ -179,7 +177,7 @@
             except StoreError:
                 self._count("store_failed")
 
-    def _due(self, now_ms: float) -> list[tuple[str, _LeaseState]]:
+    def _due_leases(self, now_ms: float) -> list[tuple[str, _LeaseState]]:
         """Return the leases to look at now. End the tenures whose deadline has passed."""
         due = []
         for name, lease in list(self._leases.items()):
@@ -203,59 +201,67 @@
         """Write the row if it is free, expired or this holder's own."""
         start_ms = self.clock()  # the timer starts before the write
         if row is None:
-            self._write(name, lease, _RowVersion(self.holder, 1, 0), start_ms, INSERT_LEASE, {})
+            self._write_row(name, lease, _RowVersion(self.holder, 1, 0), start_ms, INSERT_LEASE, {})
             return
         seen = _RowVersion(str(row[0]), int(row[1]), int(row[2]))
         if seen != lease.row_version:
             lease.row_version = seen
             lease.unchanged_since_ms = read_ms
-        own = seen.holder == self.holder and seen.token > lease.min_token
-        if not own and seen.holder != NOBODY and not self._expired(lease, read_ms, float(row[3])):
+        is_own = seen.holder == self.holder and seen.token > lease.min_token
+        if not is_own and seen.holder != NOBODY and not self._is_expired(lease, read_ms, float(row[3])):
             self._count("refused")
             return
-        token = seen.token if own else max(seen.token, lease.min_token) + 1
-        wanted = _RowVersion(self.holder, token, seen.beat + 1)
-        self._write(name, lease, wanted, start_ms, UPDATE_LEASE, {"was_token": seen.token, "was_beat": seen.beat})
+        token = seen.token if is_own else max(seen.token, lease.min_token) + 1
+        new_version = _RowVersion(self.holder, token, seen.beat + 1)
+        self._write_row(
+            name, lease, new_version, start_ms, UPDATE_LEASE, {"was_token": seen.token, "was_beat": seen.beat}
+        )
 
-    def _expired(self, lease: _LeaseState, read_ms: float, lasts_ms: float) -> bool:
+    def _is_expired(self, lease: _LeaseState, read_ms: float, lasts_ms: float) -> bool:
         """True if the row has been unchanged, by this clock and with drift, for as long as its holder may hold it."""
         longest_ms = max(self.tuning.longest_ms, lasts_ms)
         return read_ms - lease.unchanged_since_ms >= longest_ms * (1.0 + self.tuning.drift)
 
-    def _write(
-        self, name: str, lease: _LeaseState, wanted: _RowVersion, start_ms: float, sql: str, condition: dict[str, Any]
+    def _write_row(
+        self,
+        name: str,
+        lease: _LeaseState,
+        new_version: _RowVersion,
+        start_ms: float,
+        sql: str,
+        condition: dict[str, Any],
     ) -> None:
-        """Write ``wanted``. The lease is held if the condition was met.
+        """Write ``new_version``. The lease is held if the condition was met.
 
         ``start_ms`` is a time before the write: the timer of the lease starts then.
         """
         written = self.rows.run(
             sql,
             name=name,
-            holder=wanted.holder,
-            token=wanted.token,
-            beat=wanted.beat,
+            holder=new_version.holder,
+            token=new_version.token,
+            beat=new_version.beat,
             lasts_ms=self.tuning.lease_ms,
             **condition,
         )
         if not written:
             return
-        lease.row_version = wanted
+        lease.row_version = new_version
         lease.unchanged_since_ms = start_ms
         deadline_ms = start_ms + self.tuning.lease_ms
         if self.clock() >= deadline_ms:
             return
         if not lease.deadline_ms:
             self._count("held")
-        lease.token = wanted.token
+        lease.token = new_version.token
         lease.deadline_ms = deadline_ms
         lease.next_check_ms = start_ms + self.tuning.lease_ms / RENEWALS_PER_LEASE * self.rng.uniform(*RENEWAL_JITTER)
         valid_ms = deadline_ms - self.tuning.margin_ms
-        self.note("hold", name=name, token=wanted.token, until=deadline_ms, valid=valid_ms)
+        self.note("hold", name=name, token=new_version.token, until=deadline_ms, valid=valid_ms)
 
-    def _end_tenure(self, name: str, lease: _LeaseState, how: str) -> None:
-        self.note(how, name=name, token=lease.token)
-        self._count(how)
+    def _end_tenure(self, name: str, lease: _LeaseState, event: str) -> None:
+        self.note(event, name=name, token=lease.token)
+        self._count(event)
         lease.token = 0
         lease.deadline_ms = 0.0
 
--- a/beechslip/leases/tasks.py
+++ b/beechslip/leases/tasks.py
@@ -1,11 +1,11 @@
-"""Fleet-wide tasks, done by one proxy: each step under the lease of the task, each act with its token. No I/O.
+"""Fleet-wide tasks, done by one proxy: each step under the lease of the task, each act with its token.
 
 A task consists of steps (:meth:`Task.step`), and the lease is checked right before each step. An act that takes long
 is sent some time after this check. The margin of the lease covers that time; beyond the margin, the fence of the
 receiver refuses the act.
 
 There are two kinds of task: the census (:mod:`.census`), and drills, whose acts have no effect and let operators and
-the lab see which member holds a lease.
+the lab see which member holds a lease. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -129,15 +129,15 @@
     ``counts`` counts acts: taken, refused, and unknown (of a task that is off here).
     """
 
-    def __init__(self, node: LeaseProvider, tasks: Sequence[Task], note: NoteCallback) -> None:
+    def __init__(self, leases: LeaseProvider, tasks: Sequence[Task], note: NoteCallback) -> None:
         """``note`` is called for each act received, with the event took or turned_down."""
-        self.node = node
+        self.leases = leases
         self.tasks = {task.name: task for task in tasks}
         self.fence = Fence()
         self.counts: dict[str, int] = {}
         self._note = note
         for name in self.tasks:
-            node.want(name, node.now_ms)
+            leases.want(name, leases.now_ms)
 
     def tick(self, now_ms: float, clock: Callable[[], float]) -> OutgoingActs:
         """Do the steps that are due and return their acts. ``clock`` is read again right before each task's step."""
@@ -146,7 +146,7 @@
             if isinstance(task, Drill):
                 acts += task.send_due_act(now_ms)
             now_ms = clock()
-            token = self.node.held_token(name, now_ms)
+            token = self.leases.held_token(name, now_ms)
             if token is not None:
                 acts += self._accepted_by_own_fence(name, task.step(now_ms, token))
         return acts
@@ -163,7 +163,7 @@
             return []
         if message.verb is not ActMessageKind.ACT:
             if message.verb is ActMessageKind.REFUSED:
-                self.node.observe_token(message.name, message.token)
+                self.leases.observe_token(message.name, message.token)
             task.handle_answer(now_ms, sender, message)
             return []
         if not self.fence.accept(message.name, message.token, sender):
@@ -186,7 +186,7 @@
 
         So the fence also records the tokens of this member, and drops acts that it would refuse from another one.
         """
-        return [outgoing for outgoing in acts if self.fence.accept(name, outgoing.act.token, self.node.me)]
+        return [outgoing for outgoing in acts if self.fence.accept(name, outgoing.act.token, self.leases.me)]
 
     def _count(self, counter: str) -> None:
         self.counts[counter] = self.counts.get(counter, 0) + 1
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -54,9 +54,8 @@
 def test_runs_in_virtual_time_have_no_two_holders_and_no_falling_token() -> None:
     outcomes = [play(seed) for seed in range(120)]
     assert [(o.seed, o.violations) for o in outcomes if o.violations] == []
-    assert (
-        sum(o.handovers for o in outcomes) > 200 and sum(o.acts for o in outcomes) > 10_000
-    )  # the runs did something
+    # The runs must have done something.
+    assert sum(o.handovers for o in outcomes) > 200 and sum(o.acts for o in outcomes) > 10_000
 
 
 # One seed for each injected fault that finds it. Only the search finds any-promise: the order of events that it needs
@@ -127,42 +126,43 @@
         return reply.kind if reply else None
 
     assert reply_kind(1009.0, "d0", make_request(LeaseMessageKind.PREPARE, 51)) is LeaseMessageKind.REFUSE  # quiet
-    assert (
-        reply_kind(1010.0, "d0", make_request(LeaseMessageKind.PREPARE, 50)) is LeaseMessageKind.REFUSE
-    )  # not above the highest round it knows
+    # The round is not above the highest round that it knows.
+    assert reply_kind(1010.0, "d0", make_request(LeaseMessageKind.PREPARE, 50)) is LeaseMessageKind.REFUSE
+    # The ballot was not promised in this incarnation.
     assert (
         reply_kind(1010.0, "d0", make_request(LeaseMessageKind.PROPOSE, 51, lease_ms=1000.0))
         is LeaseMessageKind.REFUSE
-    )  # not promised in this incarnation
+    )
     assert reply_kind(1010.0, "d0", make_request(LeaseMessageKind.PREPARE, 51)) is LeaseMessageKind.PROMISE
+    # The lease time is above the longest one.
     assert (
         reply_kind(1010.0, "d0", make_request(LeaseMessageKind.PROPOSE, 51, lease_ms=1001.0))
         is LeaseMessageKind.REFUSE
-    )  # above the longest lease time
+    )
     assert (
         reply_kind(1011.0, "d0", make_request(LeaseMessageKind.PROPOSE, 51, lease_ms=1000.0))
         is LeaseMessageKind.ACCEPT
     )
     assert (
         reply_kind(2000.0, "d1", make_request(LeaseMessageKind.PREPARE, 99)) is LeaseMessageKind.REFUSE
-        and acceptor.promised.member == "d0"
-    )  # type: ignore[union-attr]
+        and acceptor.promised.member == "d0"  # type: ignore[union-attr]
+    )
+    # A shorter lease time does not shorten the lease, which lasts 1 % longer than requested.
     assert (
         reply_kind(2010.0, "d0", make_request(LeaseMessageKind.PROPOSE, 51, seq=1, lease_ms=1.0))
         is LeaseMessageKind.ACCEPT
-    )  # never shorter than before
-    assert (
-        acceptor.ballot_in_force(2020.0) is not None and acceptor.ballot_in_force(2021.1) is None
-    )  # 1 % longer than requested
+    )
+    assert acceptor.ballot_in_force(2020.0) is not None and acceptor.ballot_in_force(2021.1) is None
     assert reply_kind(2030.0, "d1", make_request(LeaseMessageKind.PREPARE, 99)) is LeaseMessageKind.PROMISE
     assert (
         reply_kind(2031.0, "d1", make_request(LeaseMessageKind.PROPOSE, 99, lease_ms=1000.0))
         is LeaseMessageKind.ACCEPT
     )
+    # A late release of an earlier ballot changes nothing.
     assert (
         reply_kind(2032.0, "d0", make_request(LeaseMessageKind.RELEASE, 51)) is None
         and acceptor.ballot_in_force(2033.0) is not None
-    )  # a late release of an earlier ballot
+    )
     assert (
         reply_kind(2034.0, "d1", make_request(LeaseMessageKind.RELEASE, 99)) is None
         and acceptor.ballot_in_force(2035.0) is None
@@ -179,9 +179,8 @@
     proposer.receive(500.0, "d0", accept)
     assert proposer.held_token(500.0) is None
     proposer.receive(900.0, "d1", accept)
-    assert (
-        proposer.held_token(900.0) == 6 and proposer.deadline_ms == 1160.0 and proposer.held_token(1060.0) is None
-    )  # 1160 minus the margin
+    # The lease counts as held until the margin before its deadline.
+    assert proposer.held_token(900.0) == 6 and proposer.deadline_ms == 1160.0 and proposer.held_token(1060.0) is None
     late = Proposer("d0", 1, "x", TUNING, (3,))
     late.start_attempt(0.0)
     for name in ("d0", "d1"):
@@ -249,9 +248,7 @@
     for name in set(names) - {"d7"}:
         member = members[name]
         assert (
-            set(member.published_entries) == set(range(25)) - {7}
-            and member.missing_entries == 0
-            and member.token == 9
+            set(member.published_entries) == set(range(25)) - {7} and member.missing_count == 0 and member.token == 9
         )
         assert member.published_entries[20] == ("0.1.0", 20)
     assert members["d7"].published_entries == {}
--- a/tests/test_stored_leases.py
+++ b/tests/test_stored_leases.py
@@ -101,9 +101,8 @@
 def test_lease_checker_finds_a_contender_that_waits_too_briefly(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    short_wait_tuning = LeaseTuning(
-        1000.0, 1000.0, 100.0, -0.6, 50.0
-    )  # the negative drift makes it wait less than a lease time
+    # The negative drift makes a contender wait less than a lease time.
+    short_wait_tuning = LeaseTuning(1000.0, 1000.0, 100.0, -0.6, 50.0)
     monkeypatch.setitem(globals(), "TUNING", short_wait_tuning)
     found = 0
     for seed in range(10):
@@ -160,9 +159,8 @@
     first = StoredLeases("d0", 1, database, lambda: now[0], TUNING)
     first.want("x", 0.0)
     first.tick()
-    assert (
-        first.held_token("x", 0.0) is None and first.counts["store_failed"] == 1
-    )  # no space for the table of leases
+    # There is no space for the table of leases.
+    assert first.held_token("x", 0.0) is None and first.counts["store_failed"] == 1
     database.run("PRAGMA max_page_count = 1000")
     now[0] += 100.0
     first.tick()
