--- a/beechslip/budgets/leader.py
+++ b/beechslip/budgets/leader.py
@@ -18,11 +18,11 @@
 class LeaseView(Protocol):
     """What the budgets need to know of the leases, from :class:`beechslip.leases.node.LeaseNode`."""
 
-    def held(self, name: str, now_ms: float) -> int | None:
+    def held_token(self, name: str, now_ms: float) -> int | None:
         """Return the token of lease ``name`` while this proxy holds it, else ``None``."""
         ...
 
-    def ballot(self, name: str, now_ms: float) -> tuple[str, int]:
+    def holder_and_round(self, name: str, now_ms: float) -> tuple[str, int]:
         """Return the holder of lease ``name`` and the round of its ballot, as this proxy's acceptor knows them.
 
         The holder is "" if there is none.
@@ -70,7 +70,7 @@
 
         Every earlier leader last checked its lease before this tenure began.
         """
-        token = self._leases.held(LEASE, now_ms)
+        token = self._leases.held_token(LEASE, now_ms)
         if token is not None and token != self._tenure.token:
             self._tenure = _Tenure(token, now_ms)
         return token
--- a/beechslip/budgets/part.py
+++ b/beechslip/budgets/part.py
@@ -21,7 +21,7 @@
 from beechslip.core.model import AttemptRequest, AttemptResult, Backend
 from beechslip.counters import Counters
 from beechslip.fleet.codec import CodecError
-from beechslip.fleet.messages import Message, Send
+from beechslip.fleet.messages import OutgoingDatagram, PeerMessage
 from beechslip.routing import interface as i
 from beechslip.routing.interface import Settings
 
@@ -74,7 +74,7 @@
 
     # The part behind the peer socket -----------------------------------------------------------------------
 
-    def tick(self, now_ms: float) -> list[Send]:
+    def tick(self, now_ms: float) -> list[OutgoingDatagram]:
         """Update the limits, post the quotas and add to the counters, and return the requests that are due."""
         if now_ms - self._posted_ms >= POST_INTERVAL_MS:
             self._posted_ms = now_ms
@@ -88,7 +88,7 @@
                 self._counts_reported[name] = count
         return sends
 
-    def receive(self, now_ms: float, message: Message) -> list[Send]:
+    def receive(self, now_ms: float, message: PeerMessage) -> list[OutgoingDatagram]:
         """Return the answers to a member's message. A message that can't be read is counted."""
         try:
             decoded = decode_budget(message.body)
@@ -97,7 +97,7 @@
             return []
         return self._encode_sends(self.node.receive(now_ms, message.sender, decoded))
 
-    def stop(self, now_ms: float) -> list[Send]:
+    def stop(self, now_ms: float) -> list[OutgoingDatagram]:
         """Return no messages, because grants end by themselves."""
         return []
 
@@ -114,8 +114,11 @@
         """Return the answer to ``GET /budgets``."""
         return self.node.state(self._clock.steady_ms())
 
-    def _encode_sends(self, out: OutgoingMessages) -> list[Send]:
-        return [Send(to, Message("budget", self.node.me, 0, body=encode_budget(message))) for to, message in out]
+    def _encode_sends(self, out: OutgoingMessages) -> list[OutgoingDatagram]:
+        return [
+            OutgoingDatagram(to, PeerMessage("budget", self.node.me, 0, body=encode_budget(message)))
+            for to, message in out
+        ]
 
     # Settings, limits and posted quotas --------------------------------------------------------------------
 
--- a/beechslip/budgets/settings.py
+++ b/beechslip/budgets/settings.py
@@ -8,7 +8,7 @@
 
 from beechslip.budgets.limit import FleetLimit
 from beechslip.config import ConfigError
-from beechslip.fleet.settings import FleetConfig, Table
+from beechslip.fleet.settings import FleetConfig, SettingsTable
 from beechslip.leases.settings import LeasesConfig
 
 Role = Literal["origin", "hub", "cache"]
@@ -30,7 +30,7 @@
 # Pairs of a rate and its burst.
 RATE_AND_BURST_KEYS = (("retries_per_s", "retry_burst"), ("probes_per_s", "probe_burst"))
 MAX_AMOUNT = 1e9
-JUST_BELOW_ZERO = -1e-9  # allows 0, because the lower bound of ``Table.number`` is exclusive
+JUST_BELOW_ZERO = -1e-9  # allows 0, because the lower bound of ``SettingsTable.number`` is exclusive
 MIN_TICKS_PER_GRANT = 8  # of ``tick_ms``; with fewer, a grant could not be requested again before it ends
 
 
@@ -78,11 +78,11 @@
 
     Raises ConfigError with the name of a setting that can't be used.
     """
-    table = Table(f"{fleet.file}: budgets", fleet.tables["budgets"], TABLE_KEYS)
-    if not table.flag("enabled"):
+    table = SettingsTable(f"{fleet.file}: budgets", fleet.tables["budgets"], TABLE_KEYS)
+    if not table.boolean("enabled"):
         return None
     if leases is None:
-        raise table.fail(
+        raise table.make_error(
             "enabled",
             "is true, but the table leases is off: the member that divides the limits must hold a lease",
         )
@@ -92,13 +92,13 @@
             amounts[burst] = amounts[rate]
     floor_share = table.number("floor_share", 1.0)
     if floor_share > 1.0:
-        raise table.fail(
+        raise table.make_error(
             "floor_share",
             f"is {floor_share:g}: the floors would sum to that multiple of each limit, expected at most 1",
         )
     grant_ms = table.number("grant_ms", 2000.0)
     if grant_ms < MIN_TICKS_PER_GRANT * fleet.tick_ms:
-        raise table.fail(
+        raise table.make_error(
             "grant_ms",
             f"is {grant_ms:g}: expected at least {MIN_TICKS_PER_GRANT} times tick_ms {fleet.tick_ms:g}, so that "
             "a grant can be requested again before it ends",
--- a/beechslip/duties/node.py
+++ b/beechslip/duties/node.py
@@ -10,7 +10,7 @@
   place, so that live standbys exist however many members die together. Members ranked after the first
   ``members_per_duty``, to whom no report is sent, step in after ``interval_ms + members_per_duty * takeover_ms``
   without a report.
-- **Reports.** Every duty that is done becomes a :class:`Report`, which is piggybacked on membership messages
+- **Reports.** Every duty that is done becomes a :class:`DutyReport`, which is piggybacked on membership messages
   ``report_copies`` times (:mod:`.reports`). Any report of a duty, from any member, resets its due time here.
 - **Leases against double owners.** Two members may both consider themselves the owner while their views differ (after
   a pause, a partition or lost messages). When one of them receives the other's report as an owner, the higher
@@ -37,7 +37,7 @@
 from beechslip.duties.token_bucket import TokenBucket
 from beechslip.duties.tuning import DutyTuning
 from beechslip.fleet.membership import Membership
-from beechslip.fleet.messages import REPORT, Message, Report, Send, State
+from beechslip.fleet.messages import REPORT, DutyReport, MemberState, OutgoingDatagram, PeerMessage
 
 NEVER_MS = -1e18  # the time of a duty never heard of, which makes it long overdue
 NOT_DUE_MS = -1.0
@@ -63,15 +63,15 @@
 class DutyTick(NamedTuple):
     """What is due: the messages to send, and the duties to start now."""
 
-    sends: list[Send]
+    sends: list[OutgoingDatagram]
     duties_to_start: list[str]
 
 
 class DutyMessageResult(NamedTuple):
     """What follows from a message: the answers to send, and the reports that were new here."""
 
-    sends: list[Send]
-    new_reports: list[Report]
+    sends: list[OutgoingDatagram]
+    new_reports: list[DutyReport]
 
 
 @dataclass
@@ -90,7 +90,7 @@
         tuning = self.tuning
         self.me = self.membership.me
         self.last_done_ms: dict[str, float] = {}  # by duty: when any member last did it, as far as this one knows
-        self.latest_reports: dict[str, Report] = {}  # by duty
+        self.latest_reports: dict[str, DutyReport] = {}  # by duty
         self.leases: dict[str, _Lease] = {}
         self.running_duties: set[str] = set()
         self.counts: dict[str, int] = {}
@@ -100,7 +100,7 @@
         self._synced_version = -1  # the version of the membership from which ``_ranks`` was computed
         self._ranks: dict[str, _DutyRank] = {}  # by duty of which this member is the owner or a standby
         self._jitter_ms: dict[str, float] = {}
-        self._outbox: list[Send] = []  # reports for standbys, to be sent with the next tick
+        self._outbox: list[OutgoingDatagram] = []  # reports for standbys, to be sent with the next tick
         self.set_duties(self.duties)
 
     # Duties and ranks --------------------------------------------------------------------------------------
@@ -133,10 +133,10 @@
         return sorted(duty for duty, duty_rank in self._ranks.items() if duty_rank.rank == 0)
 
     def _may_be_alive(self, name: str) -> bool:
-        return self.membership.state_of(name) is not State.DEAD
+        return self.membership.state_of(name) is not MemberState.DEAD
 
     def _is_alive(self, name: str) -> bool:
-        return self.membership.state_of(name) is State.ALIVE
+        return self.membership.state_of(name) is MemberState.ALIVE
 
     def _ranked_members(self, duty: str) -> tuple[str, ...]:
         return self._assignment.ranked_members(duty, self._may_be_alive, self._is_alive)
@@ -144,9 +144,9 @@
     def _update_ranks(self) -> None:
         """Recompute the ranks if the membership's view has changed."""
         membership = self.membership
-        if membership.version == self._synced_version:
+        if membership.view_version == self._synced_version:
             return
-        self._synced_version = membership.version
+        self._synced_version = membership.view_version
         known = set(membership.members) | {self.me}
         for name in known - self._assignment.members:
             self._assignment.add(name)
@@ -184,33 +184,33 @@
         self.running_duties.discard(duty)
         if duty not in self._listed:
             return
-        report = Report(duty, self.me, now_ms, ok, self.rank(duty) == 0)
+        report = DutyReport(duty, self.me, now_ms, ok, self.rank(duty) == 0)
         self.last_done_ms[duty] = max(self.last_done_ms.get(duty, now_ms), now_ms)
         self.latest_reports[duty] = report
         self._reports.add(report)
         if duty in self._ranks:
             self._report_to_standbys(report)
 
-    def _report_to_standbys(self, report: Report) -> None:
+    def _report_to_standbys(self, report: DutyReport) -> None:
         """Send a report directly to the standbys, so that they do not step in for a duty that was done.
 
         The other members get it by gossip.
         """
-        message = Message(REPORT, self.me, 0, reports=(report,))
+        message = PeerMessage(REPORT, self.me, 0, reports=(report,))
         for standby in self._ranked_members(report.duty):
             if standby != self.me:  # sent more than once, because a lost report causes a duplicate health check
-                self._outbox += [Send(standby, message)] * self.tuning.report_sends
+                self._outbox += [OutgoingDatagram(standby, message)] * self.tuning.report_sends
 
     # Messages -----------------------------------------------------------------------------------------------
 
-    def receive(self, now_ms: float, message: Message) -> DutyMessageResult:
+    def receive(self, now_ms: float, message: PeerMessage) -> DutyMessageResult:
         """Handle a message: first the membership's part, then its reports.
 
         Returns the answers to send and the reports that were new here. The caller passes those to the routing module,
         as if its own health check had produced them.
         """
         sends = [self._attach_reports(send) for send in self.membership.receive(now_ms, message)]
-        new_reports: list[Report] = []
+        new_reports: list[DutyReport] = []
         for report in message.reports:
             if report.duty not in self._listed or report.prober == self.me:
                 continue
@@ -257,7 +257,7 @@
             return since_done_ms - (wait_ms + tuning.members_per_duty * tuning.takeover_ms + stagger_ms)
         return since_done_ms - (wait_ms + alive_before * tuning.takeover_ms)
 
-    def _resolve_double_owner(self, now_ms: float, report: Report) -> None:
+    def _resolve_double_owner(self, now_ms: float, report: DutyReport) -> None:
         """Handle a report by another member that did ``report.duty`` as its owner.
 
         If this member also considers itself the owner, the one with the higher weight keeps the duty, and the other
@@ -276,14 +276,14 @@
             if lease.until_ms <= now_ms:
                 del self.leases[duty]
 
-    def _attach_reports(self, send: Send) -> Send:
+    def _attach_reports(self, send: OutgoingDatagram) -> OutgoingDatagram:
         """Return the message with reports piggybacked.
 
         It is returned unchanged if it is full of updates, which is rare.
         """
-        if not self._reports or len(send.message.updates) > self.membership.tuning.piggyback:
+        if not self._reports or len(send.message.updates) > self.membership.tuning.max_piggybacked:
             return send
-        return Send(send.to, replace(send.message, reports=self._reports.take()))
+        return OutgoingDatagram(send.to, replace(send.message, reports=self._reports.take()))
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
--- a/beechslip/duties/shared.py
+++ b/beechslip/duties/shared.py
@@ -24,7 +24,7 @@
 from beechslip.counters import Counters
 from beechslip.duties.node import NEVER_MS, DutyNode
 from beechslip.fleet.codec import MEMBERSHIP_KINDS
-from beechslip.fleet.messages import Message, Report, Send
+from beechslip.fleet.messages import DutyReport, OutgoingDatagram, PeerMessage
 from beechslip.routing import interface as i
 
 log = logging.getLogger("beechslip.duties")
@@ -35,7 +35,7 @@
 RESULT_ERROR: Final = "error"
 
 
-def usable_report(node: DutyNode, duty: str, now_ms: float) -> Report | None:
+def usable_report(node: DutyNode, duty: str, now_ms: float) -> DutyReport | None:
     """Return another member's report of ``duty`` that may answer a health check requested at ``now_ms``, or ``None``.
 
     It must be younger than the interval, made by another member, and of a duty that this member does not own.
@@ -92,7 +92,7 @@
         self._post(i.HealthCheckResult(duty, outcome.result, took_s, outcome.report))
         return outcome.result == RESULT_OK
 
-    def on_report(self, report: Report) -> None:
+    def on_report(self, report: DutyReport) -> None:
         """Post another member's health check to the module, as if this proxy had made it."""
         if report.duty in self._backends:
             self._counters.add("probe.heard")
@@ -123,7 +123,7 @@
         self._note = note
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def tick(self, now_ms: float) -> list[Send]:
+    def tick(self, now_ms: float) -> list[OutgoingDatagram]:
         """Start the duties that are due, and return the messages to send."""
         due = self.node.tick(now_ms)
         for duty in due.duties_to_start:
@@ -133,14 +133,14 @@
             task.add_done_callback(self._tasks.discard)
         return due.sends
 
-    def receive(self, now_ms: float, message: Message) -> list[Send]:
+    def receive(self, now_ms: float, message: PeerMessage) -> list[OutgoingDatagram]:
         """Handle a membership message, pass its new reports to the module, and return the answers to send."""
         message_result = self.node.receive(now_ms, message)
         for report in message_result.new_reports:
             self._health_checker.on_report(report)
         return message_result.sends
 
-    def stop(self, now_ms: float) -> list[Send]:
+    def stop(self, now_ms: float) -> list[OutgoingDatagram]:
         """Cancel the running health checks, and return the messages that leave the membership.
 
         :meth:`wait_closed` waits for the cancelled checks.
--- a/beechslip/duties/sim.py
+++ b/beechslip/duties/sim.py
@@ -22,7 +22,7 @@
 from beechslip.duties.tuning import DutyTuning
 from beechslip.fleet.codec import decode, encode
 from beechslip.fleet.membership import Membership
-from beechslip.fleet.messages import Message, Send
+from beechslip.fleet.messages import OutgoingDatagram, PeerMessage
 from beechslip.fleet.tuning import MembershipTuning
 
 FIRST_INCARNATION = 1_764_576_000_000  # a time of day in ms, as in production, for the same size of datagrams
@@ -133,7 +133,7 @@
                 self._schedule(self.now_ms + self.duty_ms, partial(self._finish_duty, name, duty))
         self._schedule(self.now_ms + self.tick_ms, partial(self._tick, name))
 
-    def _send(self, sender: str, send: Send) -> None:
+    def _send(self, sender: str, send: OutgoingDatagram) -> None:
         self.datagram_count += 1
         cut = self.sides_by_member and self.sides_by_member.get(sender, 0) != self.sides_by_member.get(send.to, 0)
         if cut or self.rng.random() < self.network.loss:
@@ -147,7 +147,7 @@
             delay += self.rng.uniform(0, self.network.late_ms)
         self._schedule(self.now_ms + delay, partial(self._deliver, send.to, message))
 
-    def _deliver(self, to: str, message: Message) -> None:
+    def _deliver(self, to: str, message: PeerMessage) -> None:
         if to in self.dead_names or to in self.paused_names or message.sender in self.dead_names:
             return
         for send in self.nodes[to].receive(self.now_ms, message).sends:
--- a/beechslip/regions/node.py
+++ b/beechslip/regions/node.py
@@ -140,7 +140,7 @@
         self._next_report_ms = now_ms + self.timing.report_interval_ms
         holder = self._leases.holder(LEASE, now_ms)
         report = self._make_report(now_ms)
-        if self._leases.held(LEASE, now_ms) is None:
+        if self._leases.held_token(LEASE, now_ms) is None:
             self._coordinator = None
             return [(holder, report)] if holder and holder != self.me else []
         self._reports.record(now_ms, self.me, report)
@@ -197,7 +197,7 @@
 
     def _run_coordinator_round(self, now_ms: float) -> OutgoingMessages:
         """Begin the tenure of the lease holder, or make the order that is due and repeat the newest one."""
-        token = self._leases.held(LEASE, now_ms)
+        token = self._leases.held_token(LEASE, now_ms)
         if token is None:
             return []
         if token != self._tenure_token:
@@ -250,7 +250,7 @@
 
     def _make_order(self, now_ms: float, changes: RegionTable) -> None:
         """Make and apply an order with ``changes`` if this proxy still holds the lease of its tenure."""
-        token = self._leases.held(LEASE, now_ms)
+        token = self._leases.held_token(LEASE, now_ms)
         if token is None or token != self._tenure_token or self._coordinator is None:
             return
         self._coordinator.apply_changes(now_ms, changes)
@@ -312,7 +312,7 @@
         name = self.applied_order.region_names.get(request.region)
         if name is None:
             return CommandOutcome.UNKNOWN
-        if self._coordinator is None or self._leases.held(LEASE, now_ms) != self._tenure_token:
+        if self._coordinator is None or self._leases.held_token(LEASE, now_ms) != self._tenure_token:
             return CommandOutcome.NOT_COORDINATOR
         last_done = self._last_done_requests.get(request.region)
         if last_done is not None and last_done.number == request.number:
--- a/beechslip/regions/node_types.py
+++ b/beechslip/regions/node_types.py
@@ -21,7 +21,7 @@
 class LeaseView(Protocol):
     """Read access to the leases, as :class:`beechslip.leases.node.LeaseNode` provides it."""
 
-    def held(self, name: str, now_ms: float) -> int | None:
+    def held_token(self, name: str, now_ms: float) -> int | None:
         """Return the token of the lease ``name`` if this proxy holds it, else ``None``."""
 
     def holder(self, name: str, now_ms: float) -> str:
--- a/beechslip/regions/part.py
+++ b/beechslip/regions/part.py
@@ -11,7 +11,7 @@
 from beechslip.core.model import AttemptRequest, AttemptResult, Backend
 from beechslip.counters import Counters
 from beechslip.fleet.codec import CodecError
-from beechslip.fleet.messages import Message, Send
+from beechslip.fleet.messages import OutgoingDatagram, PeerMessage
 from beechslip.regions.failure_evidence import AMBIGUOUS_FAILURE_RESULTS, BACKEND_FAILURE_RESULTS
 from beechslip.regions.messages import CommandOutcome, OperatorResponse, decode_region_message, encode_region_message
 from beechslip.regions.node import RegionNode
@@ -70,7 +70,7 @@
 
     # Peer datagrams ----------------------------------------------------------------------------------------
 
-    def tick(self, now_ms: float) -> list[Send]:
+    def tick(self, now_ms: float) -> list[OutgoingDatagram]:
         """Do what is due and return the datagrams to send.
 
         A backend that has used up its warm-up allowance counts as a full link, which prolongs a step.
@@ -82,7 +82,7 @@
         self._publish_changes(now_ms)
         return datagrams
 
-    def receive(self, now_ms: float, message: Message) -> list[Send]:
+    def receive(self, now_ms: float, message: PeerMessage) -> list[OutgoingDatagram]:
         """Handle a datagram; an order takes effect immediately, not at the next tick."""
         try:
             region_message = decode_region_message(message.body)
@@ -93,7 +93,7 @@
         self._publish_changes(now_ms)
         return datagrams
 
-    def stop(self, now_ms: float) -> list[Send]:
+    def stop(self, now_ms: float) -> list[OutgoingDatagram]:
         """Return no datagrams at the end of the program, because the lease's own part releases the lease."""
         return []
 
@@ -101,9 +101,9 @@
         """Return the operators' page ``/regions``."""
         return self.node.state(self._clock.steady_ms())
 
-    def _to_datagrams(self, outgoing: OutgoingMessages) -> list[Send]:
+    def _to_datagrams(self, outgoing: OutgoingMessages) -> list[OutgoingDatagram]:
         return [
-            Send(to, Message(MESSAGE_KIND, self.node.me, 0, body=encode_region_message(message)))
+            OutgoingDatagram(to, PeerMessage(MESSAGE_KIND, self.node.me, 0, body=encode_region_message(message)))
             for to, message in outgoing
         ]
 
@@ -225,7 +225,7 @@
     # Operators ---------------------------------------------------------------------------------------------
 
     async def execute_command(
-        self, parameters: Mapping[str, str], send: Callable[[list[Send]], None]
+        self, parameters: Mapping[str, str], send: Callable[[list[OutgoingDatagram]], None]
     ) -> tuple[int, str]:
         """Execute an operator's call and return the HTTP status and the text of the response.
 
@@ -244,7 +244,7 @@
         return HTTP_RESPONSES[CommandOutcome.NOT_COORDINATOR]
 
     async def _attempt_command(
-        self, call: OperatorCall, send: Callable[[list[Send]], None]
+        self, call: OperatorCall, send: Callable[[list[OutgoingDatagram]], None]
     ) -> OperatorResponse | None:
         """Submit the command unless it has a response already, wait once, and return the response if there is one."""
         if self.node.command_response(call.number) is None:
--- a/beechslip/regions/settings.py
+++ b/beechslip/regions/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from beechslip.fleet.settings import FleetConfig, Table
+from beechslip.fleet.settings import FleetConfig, SettingsTable
 from beechslip.leases.settings import LeasesConfig
 from beechslip.regions.coordinator import CoordinatorTuning
 from beechslip.regions.node_types import RegionTiming
@@ -28,20 +28,22 @@
 
 def read_regions(fleet: FleetConfig, leases: LeasesConfig | None) -> RegionsConfig | None:
     """Return the table's settings, or ``None`` if it is not ``enabled``; raise ConfigError for a wrong key."""
-    table = Table(f"{fleet.file}: regions", fleet.tables["regions"], TABLE_KEYS)
-    if not table.flag("enabled"):
+    table = SettingsTable(f"{fleet.file}: regions", fleet.tables["regions"], TABLE_KEYS)
+    if not table.boolean("enabled"):
         return None
     if leases is None:
-        raise table.fail("enabled", "is true, but the table leases is off: the coordinator of regions needs a lease")
+        raise table.make_error(
+            "enabled", "is true, but the table leases is off: the coordinator of regions needs a lease"
+        )
     timing = _read_timing(table, leases)
     return RegionsConfig(_read_tuning(table, timing.report_interval_ms), timing)
 
 
-def _read_timing(table: Table, leases: LeasesConfig) -> RegionTiming:
+def _read_timing(table: SettingsTable, leases: LeasesConfig) -> RegionTiming:
     report_ms = table.number("report_ms", DEFAULT_REPORT_INTERVAL_MS)
     expiry_ms = table.number("stale_ms", DEFAULT_EXPIRY_REPORTS * report_ms)
     if expiry_ms < MIN_EXPIRY_REPORTS * report_ms:
-        raise table.fail(
+        raise table.make_error(
             "stale_ms",
             f"is {expiry_ms:g}: expected at least three times report_ms ({report_ms:g}), so that two lost datagrams "
             "do not make a proxy count as silent",
@@ -54,7 +56,7 @@
     )
 
 
-def _read_tuning(table: Table, report_ms: float) -> CoordinatorTuning:
+def _read_tuning(table: SettingsTable, report_ms: float) -> CoordinatorTuning:
     default = CoordinatorTuning()
     tuning = CoordinatorTuning(
         initial_wait_ms=table.number("out_ms", default.initial_wait_ms),
@@ -63,7 +65,7 @@
         backoff_reset_ms=table.number("calm_ms", default.backoff_reset_ms),
     )
     if tuning.step_ms < MIN_STEP_REPORTS * report_ms:
-        raise table.fail(
+        raise table.make_error(
             "step_ms",
             f"is {tuning.step_ms:g}: expected at least twice report_ms ({report_ms:g}), so that reports on a step "
             "arrive before it ends",
--- a/tests/region_helpers.py
+++ b/tests/region_helpers.py
@@ -20,7 +20,7 @@
         self.holder_name = ""
         self.token = 0
 
-    def held(self, name: str, now_ms: float) -> int | None:
+    def held_token(self, name: str, now_ms: float) -> int | None:
         """Return the token if this member is the holder, else ``None``."""
         return self.token if self.holder_name == self.me and name == LEASE else None
 
--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -15,7 +15,7 @@
 from beechslip.budgets.settings import AMOUNT_KEYS, BudgetsConfig
 from beechslip.core.messages import EndpointListUpdate
 from beechslip.core.model import AttemptResult, Backend
-from beechslip.fleet.messages import Message
+from beechslip.fleet.messages import PeerMessage
 from lab.stand import HANG, OK, Stand, StandBackend, run, until
 from tests.test_budgets import FakeLeaseView
 from tests.test_dns import ZONE, DnsStand, box, objects_homed_in
@@ -180,6 +180,6 @@
 async def test_unreadable_message_is_counted_and_gets_no_answer() -> None:
     async with Stand(*backends()) as stand:
         part = attach_budgets(stand, hub_fills=4.0)
-        assert part.receive(0.0, Message("budget", "d1", 0, body=b"odd")) == []
+        assert part.receive(0.0, PeerMessage("budget", "d1", 0, body=b"odd")) == []
         assert stand.counters["budget.bad"] == 1 and part.state()["keeping"] is False
         assert part.stop(0.0) == []
--- a/tests/test_duties_wire.py
+++ b/tests/test_duties_wire.py
@@ -22,11 +22,11 @@
 from beechslip.duties.node import DutyNode
 from beechslip.duties.settings import read_duties
 from beechslip.duties.shared import DutyPart, SharedHealthChecker
-from beechslip.fleet.codec import MOST_BYTES, CodecError, decode, encode
+from beechslip.fleet.codec import MAX_DATAGRAM_BYTES, CodecError, decode, encode
 from beechslip.fleet.membership import Membership
-from beechslip.fleet.messages import Message, Report, State, Update
-from beechslip.fleet.peers import Peers, member_name
-from beechslip.fleet.settings import FLEET_FILE, read_fleet, refuse_old
+from beechslip.fleet.messages import DutyReport, MemberState, MemberUpdate, PeerMessage
+from beechslip.fleet.peers import PeerSocket, member_name
+from beechslip.fleet.settings import FLEET_FILE, read_fleet, refuse_old_settings_file
 from beechslip.leases.settings import read_leases
 from beechslip.routing import interface as i
 from beechslip.routing.wire.settings import read_settings
@@ -45,24 +45,24 @@
     """A stand-in for a shared health checker: does duties at once and stores reports."""
 
     def __init__(self, node: DutyNode) -> None:
-        self.node, self.done_duties, self.reports = node, list[str](), list[Report]()
+        self.node, self.done_duties, self.reports = node, list[str](), list[DutyReport]()
 
     async def perform_duty(self, duty: str) -> bool:
         self.done_duties.append(duty)
         return True
 
-    def on_report(self, report: Report) -> None:
+    def on_report(self, report: DutyReport) -> None:
         self.reports.append(report)
 
 
 def _build_peers(
     number: int, addresses: list[Address], duties: tuple[str, ...], clock: ManualClock
-) -> tuple[Peers, _FakeSharedChecker]:
+) -> tuple[PeerSocket, _FakeSharedChecker]:
     names = tuple(member_name(n) for n in range(len(addresses)))
     node = DutyNode(Membership(names[number], clock.steady_ms(), names, incarnation=1), duties)
     checker, counters = _FakeSharedChecker(node), Counters()
     part = DutyPart(cast(SharedHealthChecker, checker), clock, counters)
-    return Peers(FLEET, number, addresses[number], addresses, [part], clock, counters), checker
+    return PeerSocket(FLEET, number, addresses[number], addresses, [part], clock, counters), checker
 
 
 async def _advance_clock(clock: ManualClock, ms: float, step_ms: float = 50.0) -> None:
@@ -98,7 +98,7 @@
             for checker, count_before in zip(checkers[1:], counts_before[1:], strict=True)
             for duty in checker.done_duties[count_before:]
         } == set(duties)
-        assert all(checker.node.membership.state_of("d0") is State.DEAD for checker in checkers[1:])
+        assert all(checker.node.membership.state_of("d0") is MemberState.DEAD for checker in checkers[1:])
     finally:
         for member in peers:
             member.stop()
@@ -111,13 +111,13 @@
     await peer.start()
     sender, member = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
     member.bind((addresses[1].host, addresses[1].port))
-    good = encode(Message("ping", "d1", 1), FLEET)
+    good = encode(PeerMessage("ping", "d1", 1), FLEET)
     old = good.replace(b"\x08\x02", b"\x08\x01", 1)  # the version is the first field of a datagram
     try:
-        for data in (b"", b"\xff" * 40, good[:-3], old, encode(Message("ping", "d1", 1), "other"), b"x" * 600):
+        for data in (b"", b"\xff" * 40, good[:-3], old, encode(PeerMessage("ping", "d1", 1), "other"), b"x" * 600):
             member.sendto(data, (addresses[0].host, addresses[0].port))
         sender.sendto(good, (addresses[0].host, addresses[0].port))  # sent from an address of no member
-        member.sendto(encode(Message("ping", "d0", 1), FLEET), (addresses[0].host, addresses[0].port))
+        member.sendto(encode(PeerMessage("ping", "d0", 1), FLEET), (addresses[0].host, addresses[0].port))
         await until(lambda: peer.counters["fleet.bad"] >= 6 and peer.counters["fleet.foreign"] >= 2)
         assert peer.counters["fleet.received"] == 0
         member.sendto(good, (addresses[0].host, addresses[0].port))
@@ -134,15 +134,15 @@
 @given(
     _names,
     st.integers(0, 2**40),
-    st.lists(st.builds(Update, _names, st.integers(0, 2**50), st.sampled_from(list(State))), max_size=6),
-    st.lists(st.builds(Report, _names, _names, st.floats(0, 2e12), st.booleans(), st.booleans()), max_size=6),
+    st.lists(st.builds(MemberUpdate, _names, st.integers(0, 2**50), st.sampled_from(list(MemberState))), max_size=6),
+    st.lists(st.builds(DutyReport, _names, _names, st.floats(0, 2e12), st.booleans(), st.booleans()), max_size=6),
 )
 def test_decoded_message_equals_the_encoded_one_within_the_size_bound(
-    sender: str, seq: int, updates: list[Update], reports: list[Report]
+    sender: str, seq: int, updates: list[MemberUpdate], reports: list[DutyReport]
 ) -> None:
-    message = Message("ack", sender, seq, "", tuple(updates), tuple(reports))
+    message = PeerMessage("ack", sender, seq, "", tuple(updates), tuple(reports))
     data = encode(message, FLEET)
-    assert len(data) <= MOST_BYTES
+    assert len(data) <= MAX_DATAGRAM_BYTES
     back = decode(data, FLEET)
     assert (back.kind, back.sender, back.seq) == ("ack", sender, seq)
     assert back.updates == message.updates[: len(back.updates)]
@@ -157,7 +157,7 @@
 
 def test_encode_rejects_a_message_without_reports_over_the_size_bound() -> None:
     with pytest.raises(CodecError):
-        encode(Message("ping", "x" * 300, 1), FLEET)
+        encode(PeerMessage("ping", "x" * 300, 1), FLEET)
 
 
 CONFIG = Config(
@@ -215,12 +215,12 @@
 
 
 def test_former_duties_file_is_rejected_with_what_to_do(tmp_path: Path) -> None:
-    refuse_old({}, tmp_path / "duties.toml")
+    refuse_old_settings_file({}, tmp_path / "duties.toml")
     with pytest.raises(ConfigError, match="EDGE_FLEET"):
-        refuse_old({"EDGE_DUTIES": "x"}, tmp_path / "duties.toml")
+        refuse_old_settings_file({"EDGE_DUTIES": "x"}, tmp_path / "duties.toml")
     (tmp_path / "duties.toml").write_text("enabled = false\n")
     with pytest.raises(ConfigError, match=r"duties\.toml is no longer read"):
-        refuse_old({}, tmp_path / "duties.toml")
+        refuse_old_settings_file({}, tmp_path / "duties.toml")
 
 
 class _FakeHealthChecker:
@@ -249,11 +249,11 @@
     now = clock.now_ms()
     node.receive(
         now,
-        Message(
+        PeerMessage(
             "report",
             "other",
             0,
-            reports=(Report(theirs.name, "other", now, True), Report(mine.name, "other", now, True)),
+            reports=(DutyReport(theirs.name, "other", now, True), DutyReport(mine.name, "other", now, True)),
         ),
     )
     assert (await shared.health_check(theirs)).result == "ok"
@@ -263,7 +263,7 @@
     clock.advance(node.tuning.interval_ms + 1)
     await shared.health_check(theirs)
     assert inner.checked == [mine.name, theirs.name]  # the report has become stale
-    shared.on_report(Report(theirs.name, "other", now, False))
+    shared.on_report(DutyReport(theirs.name, "other", now, False))
     assert posted == [i.HealthCheckResult(theirs.name, "error")]
 
 
