--- a/beechslip/agent/__init__.py
+++ b/beechslip/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: runs, watches, drains and restarts the proxies that the store declares."""
+"""The agent: starts, health-checks, drains and restarts the proxies that are declared in the store."""
--- a/beechslip/agent/launcher.py
+++ b/beechslip/agent/launcher.py
@@ -1,4 +1,4 @@
-"""Starts proxies as child processes on this machine, and calls their health check and counters."""
+"""Starts proxies as child processes on this machine, and reads their health check and counters over HTTP."""
 
 from __future__ import annotations
 
@@ -11,20 +11,23 @@
 import aiohttp
 import orjson
 
-from beechslip.agent.process import Process
+from beechslip.agent.process import ProxyProcess
 from beechslip.agent.regions import ops_addresses
 from beechslip.config import Address, ConfigError, parse_address, read_config
 from beechslip.process import AGENT_VARIABLE
 from beechslip.store import Instance
 
-CALL_TIMEOUT_S = 1.0
-"""Timeout of a health check, of a connection and of a call for counters."""
+PROXY_CALL_TIMEOUT_S = 1.0
+"""Timeout of a health check, of a connection attempt and of a request for counters."""
 
 HTTP_OK = 200
 
 
-def environment(instance: Instance) -> dict[str, str]:
-    """The environment of the instance's process: this process', with the EDGE_* variables of the instance."""
+def process_environment(instance: Instance) -> dict[str, str]:
+    """Return the environment of the instance's process.
+
+    It is the environment of this process, with the EDGE_* variables replaced by those of the instance.
+    """
     variables = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
     variables["EDGE_CONFIG"] = instance.config
     variables["EDGE_NAME"] = instance.name
@@ -35,27 +38,30 @@
 
 
 def listen_address(instance: Instance) -> Address:
-    """The address that the instance listens at; ConfigError where neither the store nor its file gives one."""
+    """Return the address that the instance listens at.
+
+    Raises ConfigError if neither the store nor the configuration file names a valid one.
+    """
     if instance.listen:
         return parse_address(instance.listen)
-    return read_config(environment(instance)).listen
+    return read_config(process_environment(instance)).listen
 
 
 class LocalProcess:
-    """A child process on this machine."""
+    """A proxy that runs as a child process on this machine."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
-        """``process`` may have ended already: signals to it are then dropped."""
+        """Wrap ``process``, which may have exited already; signals to an exited process are ignored."""
         self._process = process
 
     @property
     def pid(self) -> int:
-        """The system's number of the process."""
+        """Process id."""
         return self._process.pid
 
     @property
     def returncode(self) -> int | None:
-        """The exit code, negative for a signal's number; ``None`` while it runs."""
+        """Exit code, or ``None`` while the process runs; it is the negative signal number after a signal."""
         return self._process.returncode
 
     def _signal(self, number: signal.Signals) -> None:
@@ -63,59 +69,59 @@
             self._process.send_signal(number)
 
     def terminate(self) -> None:
-        """SIGTERM: the proxy drains and ends."""
+        """Send SIGTERM, on which the proxy drains and exits."""
         self._signal(signal.SIGTERM)
 
     def kill(self) -> None:
-        """SIGKILL: the proxy ends at once, with what it has accepted."""
+        """Send SIGKILL, which ends the proxy at once; accepted requests are lost."""
         self._signal(signal.SIGKILL)
 
     def reload(self) -> None:
-        """SIGHUP: the proxy reads its configuration file again."""
+        """Send SIGHUP, on which the proxy reads its configuration file again."""
         self._signal(signal.SIGHUP)
 
     async def wait(self) -> int:
-        """The exit code, once the process has ended."""
+        """Wait for the process to exit, and return its exit code."""
         return await self._process.wait()
 
 
 class LocalLauncher:
-    """Runs proxies on this machine. It keeps nothing: whoever starts a process owns it."""
+    """Starts proxies on this machine. It keeps no state: the caller owns the processes that it starts."""
 
-    async def start(self, instance: Instance) -> Process:
-        """Start a process of the instance; OSError if that fails.
+    async def start(self, instance: Instance) -> ProxyProcess:
+        """Start a process of the instance. Raises OSError if that fails.
 
-        Its standard input is a pipe that closes when the agent is gone, upon which the proxy drains.
+        Its standard input is a pipe that closes when the agent exits, on which the proxy drains.
         """
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "beechslip", stdin=asyncio.subprocess.PIPE, env=environment(instance)
+            sys.executable, "-m", "beechslip", stdin=asyncio.subprocess.PIPE, env=process_environment(instance)
         )
         return LocalProcess(process)
 
     async def is_address_free(self, instance: Instance) -> bool:
-        """Whether nothing accepts connections at the instance's address."""
+        """True if no process accepts connections at the instance's address."""
         try:
             address = listen_address(instance)
             connecting = asyncio.open_connection(address.host, address.port)
-            _, writer = await asyncio.wait_for(connecting, CALL_TIMEOUT_S)
+            _, writer = await asyncio.wait_for(connecting, PROXY_CALL_TIMEOUT_S)
         except TimeoutError:
-            return False  # something listens, and is too busy to accept
+            return False  # a process listens there and is too busy to accept
         except (OSError, ConfigError):
-            return True  # a fault in its file shows at its start
+            return True  # an error in the configuration file is reported when the proxy starts
         writer.transport.abort()
         return False
 
     async def is_healthy(self, instance: Instance) -> bool:
-        """Whether ``GET /health`` at the instance's address gives 200."""
+        """True if ``GET /health`` at the instance's address returns status 200."""
         try:
-            listen = instance.listen or str(read_config(environment(instance)).listen)
+            listen = instance.listen or str(read_config(process_environment(instance)).listen)
             async with _session() as session, session.get(f"http://{listen}/health") as response:
                 return response.status == HTTP_OK
         except (aiohttp.ClientError, OSError, TimeoutError, ConfigError):
             return False
 
     async def counters(self, instance: Instance) -> dict[str, int] | None:
-        """The instance's counters; ``None`` where it has no operators' address, or does not answer there."""
+        """Return the instance's counters, or ``None`` if it has no operators' address or does not respond there."""
         addresses = ops_addresses([instance])
         if not addresses:
             return None
@@ -131,5 +137,5 @@
 
 
 def _session() -> aiohttp.ClientSession:
-    """A session for one call; the environment's proxy settings do not apply."""
-    return aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S), trust_env=False)
+    """Return a session for one request, which ignores the proxy settings of the environment."""
+    return aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=PROXY_CALL_TIMEOUT_S), trust_env=False)
--- a/beechslip/agent/leases.py
+++ b/beechslip/agent/leases.py
@@ -1,4 +1,4 @@
-"""The leases of one agent: one for each instance, and that of the leader which runs orders."""
+"""The leases of one agent: one for each instance, and one for running orders."""
 
 from __future__ import annotations
 
@@ -18,114 +18,134 @@
 
 
 def lease_name(instance: str) -> str:
-    """The name of an instance's lease."""
+    """Return the name of an instance's lease."""
     return f"agent:{instance}"
 
 
 class AgentLeases(Protocol):
-    """Leases that give each instance, and the orders, to one agent. Calls may block as a store does."""
+    """Leases that assign each instance, and the running of orders, to one agent at a time.
+
+    :meth:`tick` and :meth:`release` may block, because they call the store.
+    """
 
     def tick(self) -> None:
-        """Acquire and extend what is due."""
+        """Acquire and extend the leases that are due."""
         ...
 
-    def request(self, name: str, preferred: bool) -> None:
-        """Try to hold a lease; ``preferred``: as soon as it is free, else others go first."""
+    def request(self, name: str, is_preferred: bool) -> None:
+        """Request a lease and keep requesting it until it is released.
+
+        With ``is_preferred`` it is requested as soon as it is free; otherwise other agents may acquire it first.
+        """
         ...
 
     def fence(self, name: str) -> Fence | None:
-        """The fence to write under, if the lease is held for long enough to act."""
+        """Return the fence to write under if the lease is held for long enough to act, else ``None``."""
         ...
 
     def other_holder(self, name: str) -> str:
-        """Who else holds it as far as was read last; "" if nobody, or it is not known."""
+        """Return the other agent that holds the lease by the last read; "" if there is none or it is unknown."""
         ...
 
     def release(self, name: str) -> None:
-        """Give a lease up, and no longer try to hold it."""
+        """Release a lease, and stop requesting it."""
         ...
 
 
 class StoredAgentLeases:
-    """Leases in the store.
+    """Agent leases that are kept in the store.
 
-    An instance's home agent requests it at once, others only ``home_ms`` after their own start: so each agent gets
-    its own instances after a common start, and those of a dead agent are taken over.
+    The home agent of an instance requests its lease at once; other agents do so only ``home_ms`` after their own
+    start. After a common start, each agent therefore gets its own instances. The instances of a dead agent are still
+    taken over.
     """
 
     def __init__(self, leases: StoredLeases, clock: Callable[[], float], home_ms: float) -> None:
-        """``clock`` gives steady ms; ``home_ms``: how long other agents' instances are left to them after a start."""
+        """Wrap the ``leases`` of one agent.
+
+        ``clock`` returns steady time in ms. For ``home_ms`` after the start, leases of instances with another home
+        are not requested.
+        """
         self._leases = leases
         self._clock = clock
         self._request_others_from_ms = clock() + home_ms
-        self._lock = threading.Lock()  # ticks come from the passes and from the task that extends leases
+        self._lock = threading.Lock()  # tick() is called by reconciliation passes and by the task that extends leases
 
     def tick(self) -> None:
-        """Acquire and extend what is due, one thread at a time."""
+        """Acquire and extend the leases that are due; only one thread at a time does so."""
         with self._lock:
             self._leases.tick()
 
-    def request(self, name: str, preferred: bool) -> None:
-        """Try to hold a lease, unless it is another's and the time for home agents is not over."""
+    def request(self, name: str, is_preferred: bool) -> None:
+        """Request a lease, unless it is not ``is_preferred`` and the time reserved for home agents is not over."""
         now_ms = self._clock()
-        if preferred or now_ms >= self._request_others_from_ms:
-            self._leases.want(name, now_ms)  # not under the lock: the loop must not wait for a slow store
+        if is_preferred or now_ms >= self._request_others_from_ms:
+            self._leases.want(name, now_ms)  # without the lock: the event loop must not wait for a slow store
 
     def fence(self, name: str) -> Fence | None:
-        """The fence to write under, if the lease is held for long enough to act."""
+        """Return the fence to write under if the lease is held for long enough to act, else ``None``."""
         token = self._leases.held(name, self._clock())
         return Fence(name, self._leases.holder, token) if token is not None else None
 
     def other_holder(self, name: str) -> str:
-        """Who else holds it as far as was read last; "" if nobody, or it is not known."""
+        """Return the other agent that holds the lease by the last read; "" if there is none or it is unknown."""
         holder = self._leases.last_holder(name)
         return "" if holder == self._leases.holder else holder
 
     def release(self, name: str) -> None:
-        """Give a lease up, and no longer try to hold it."""
+        """Release a lease, and stop requesting it."""
         with self._lock:
             self._leases.release(name)
 
 
 @dataclass(frozen=True, slots=True)
-class Ownership:
-    """Whether this agent may act now, and the fence to write under (``None`` for a store's only agent)."""
+class LeaseOwnership:
+    """Whether this agent owns what a lease covers and may act on it now.
 
-    owned: bool
+    ``fence`` is the fence to write under; it is ``None`` if this is the only agent that uses the store.
+    """
+
+    is_owned: bool
     fence: Fence | None = None
 
 
 class InstanceLeases:
-    """Which instances this agent may act on. Without ``leases`` it is the store's only agent and owns them all."""
+    """Determines which instances this agent owns.
+
+    Without ``leases`` it is the only agent that uses the store, and owns all instances.
+    """
 
     def __init__(self, leases: AgentLeases | None, agent_name: str, access: StoreAccess) -> None:
-        """``agent_name``: instances with this home are requested before others."""
+        """Request leases of instances whose home is ``agent_name`` before the others."""
         self._leases = leases
         self._agent_name = agent_name
         self._access = access
         self._requested: set[str] = set()
-        self._logged_holders: dict[str, str] = {}  # by instance: the other holder that was logged last
+        self._logged_holders: dict[str, str] = {}  # by instance: the other holder that was last logged
 
-    def ownership(self, instance: str) -> Ownership:
-        """Whether this agent may act on an instance now."""
+    def ownership(self, instance: str) -> LeaseOwnership:
+        """Return whether this agent owns an instance now, and under which fence."""
         return self._ownership(lease_name(instance))
 
-    def orders_ownership(self) -> Ownership:
-        """Whether this agent is the leader that runs orders."""
+    def orders_ownership(self) -> LeaseOwnership:
+        """Return whether this agent is the leader that runs orders, and under which fence."""
         return self._ownership(ORDERS_LEASE)
 
-    def _ownership(self, name: str) -> Ownership:
+    def _ownership(self, name: str) -> LeaseOwnership:
         if self._leases is None:
-            return Ownership(True)
+            return LeaseOwnership(True)
         fence = self._leases.fence(name)
-        return Ownership(fence is not None, fence)
+        return LeaseOwnership(fence is not None, fence)
 
     def other_holder(self, instance: str) -> str:
-        """The other agent that holds an instance's lease; "" if none is known."""
+        """Return the other agent that holds an instance's lease; "" if none is known."""
         return self._leases.other_holder(lease_name(instance)) if self._leases is not None else ""
 
     async def update(self, declared: Sequence[Instance], supervised: Collection[str]) -> None:
-        """Request the leases of what is declared; release those of what is neither declared nor supervised."""
+        """Request the leases of declared instances.
+
+        Leases of instances that are neither declared nor supervised any more are released.
+        """
         leases = self._leases
         if leases is None:
             return
@@ -146,22 +166,24 @@
             return
         self._logged_holders[instance] = holder
         if holder:
-            log.info("%s is held by agent %s: nothing is started or written here", instance, holder)
+            log.info(
+                "lease held by another agent: instance=%s holder=%s, not started or written here", instance, holder
+            )
 
     async def extend_periodically(self, interval_s: float) -> None:
-        """Extend leases until cancelled, beside passes that may outlast a lease where the store is slow."""
+        """Extend leases until cancelled; it runs beside passes that may outlast a lease if the store is slow."""
         while self._leases is not None:
             await self._access.call(self._leases.tick)
             await asyncio.sleep(interval_s)
 
     async def release(self, instance: str) -> None:
-        """Release an instance's lease; StoreError if the store fails."""
+        """Release an instance's lease. Raises StoreError if the store fails."""
         if self._leases is not None:
             await self._access.call(self._leases.release, lease_name(instance))
 
     async def release_all(self, instances: Iterable[str]) -> None:
-        """Release the leases of the orders and of ``instances``; store failures are logged."""
+        """Release the lease for running orders and those of ``instances``; store errors are logged."""
         if self._leases is None:
             return
         for name in [ORDERS_LEASE, *map(lease_name, instances)]:
-            await self._access.attempt(self._access.call(self._leases.release, name))
+            await self._access.try_await(self._access.call(self._leases.release, name))
--- a/beechslip/agent/order_execution.py
+++ b/beechslip/agent/order_execution.py
@@ -1,4 +1,7 @@
-"""Orders, as one agent takes part in them: steps of its own instances, and all orders while it is their leader."""
+"""The agent's part in orders: it executes the steps of its own instances.
+
+The agent that holds the lease ``orders`` is the leader and also runs all orders.
+"""
 
 from __future__ import annotations
 
@@ -7,13 +10,13 @@
 from dataclasses import replace
 
 from beechslip.agent.leases import InstanceLeases
-from beechslip.agent.process import Launcher
+from beechslip.agent.process import ProxyLauncher
 from beechslip.agent.store_access import StoreAccess
 from beechslip.agent.supervised import SupervisedInstance
 from beechslip.clock import Clock
 from beechslip.orders.model import Step
 from beechslip.orders.order_store import OrderStore
-from beechslip.orders.runner import OrderRunner, OrderUpdate, StepTimeouts, Update
+from beechslip.orders.runner import OrderRunner, OrderUpdate, RecordUpdate, StepTimeouts
 from beechslip.orders.step_run import ActionKind, InstanceView, StepAction, StepRun
 from beechslip.store import Fence, Instance
 
@@ -21,26 +24,26 @@
 
 PRUNE_INTERVAL_MS = 60_000.0
 RETENTION_MS = 30 * 86_400_000.0
-"""Events and ended orders are deleted after this age (30 days)."""
+"""Age after which events and ended orders are deleted (30 days)."""
 
 RETENTION_COUNT = 100_000
-"""Events and ended orders beyond this many are deleted, the oldest first."""
+"""Number of events and of ended orders that are kept; older ones beyond it are deleted."""
 
-KINDS_THAT_READ_COUNTERS = ("retune", "inspect")
+STEP_KINDS_THAT_READ_COUNTERS = ("retune", "inspect")
 
 
 class OrderTables:
-    """Opens the tables of orders at their first use, when the store may be away."""
+    """Opens the order tables at first use, because the store may be unreachable when the agent starts."""
 
     def __init__(self, access: StoreAccess) -> None:
-        """``access``: the store that has the tables."""
+        """Open the tables in the store of ``access``."""
         self._access = access
         self._tables: OrderStore | None = None
 
     async def open(self) -> OrderStore:
-        """The tables; StoreError if the store fails."""
+        """Return the tables. Raises StoreError if the store fails."""
         if self._tables is None:
-            self._tables = await self._access.call(OrderStore, self._access.store.rows)
+            self._tables = await self._access.call(OrderStore, self._access.store.connection)
         return self._tables
 
 
@@ -48,9 +51,9 @@
     """Executes the steps of instances that this agent owns."""
 
     def __init__(
-        self, access: StoreAccess, tables: OrderTables, launcher: Launcher, clock: Clock, agent_name: str
+        self, access: StoreAccess, tables: OrderTables, launcher: ProxyLauncher, clock: Clock, agent_name: str
     ) -> None:
-        """``agent_name`` stands in the record as holder of steps where the agent has no leases."""
+        """Create an executor; ``agent_name`` is written as the holder of steps if the agent has no leases."""
         self._access = access
         self._tables = tables
         self._launcher = launcher
@@ -59,7 +62,10 @@
         self._steps: dict[str, Step] = {}
 
     async def read_steps(self) -> None:
-        """Read the step of each instance that is at work: the newest where an older one is ``unknown``."""
+        """Read the active step of each instance.
+
+        If an instance has several, the newest step is used, and one in state ``unknown`` only if there is no other.
+        """
         tables = await self._tables.open()
         steps = await self._access.call(tables.active_steps)
         self._steps = {}
@@ -67,74 +73,86 @@
             self._steps[step.instance] = step
 
     async def execute(self, instance: Instance, supervised: SupervisedInstance, fence: Fence | None) -> None:
-        """Take the step of an instance if there is one, and do its next action. StoreError if the store fails."""
+        """Take the step of an instance if there is one, and do its next action.
+
+        Raises StoreError if the store fails.
+        """
         tables = await self._tables.open()
         step = self._steps.get(instance.name)
         now_ms = self._clock.steady_ms()
         holder = fence.holder if fence is not None else self._agent_name or "agent"
         view = supervised.view(instance.wanted)
         if supervised.step_run is None:
-            if step is None or not await self._take(tables, step, holder, fence):
+            if step is None or not await self._take_step(tables, step, holder, fence):
                 return
             previous_holder = step.holder if step.holder != holder else ""
             supervised.step_run = StepRun(step, view, now_ms, previous_holder)
         run = supervised.step_run
         action = run.next_action(now_ms, await self._complete_view(instance, supervised, view))
         if action.result is None:
-            await self._do(action.kind, instance, supervised, fence)
+            await self._execute_action(action.kind, instance, supervised, fence)
         else:
-            await self._finish(tables, run, holder, action, fence)
+            await self._write_result(tables, run, holder, action, fence)
             supervised.step_run = None
-            supervised.stop_requested = False
+            supervised.is_stop_requested = False
 
-    async def _take(self, tables: OrderStore, step: Step, holder: str, fence: Fence | None) -> bool:
-        """Whether the step is this agent's: on record as taken before anything is done for it."""
+    async def _take_step(self, tables: OrderStore, step: Step, holder: str, fence: Fence | None) -> bool:
+        """True if the step is this agent's.
+
+        The step is recorded as taken before any action is done for it.
+        """
         if step.state == "unknown" and step.holder != holder:
             return False
         if step.holder == holder and step.state != "asked":
             return True
-        if not await self._access.call(tables.take, step, holder, fence):
+        if not await self._access.call(tables.take_step, step, holder, fence):
             return False
-        log.info("%s: order %d: %s taken", step.instance, step.order_id, step.kind)
+        log.info("step taken: instance=%s order=%d kind=%s", step.instance, step.order_id, step.kind)
         return True
 
     async def _complete_view(
         self, instance: Instance, supervised: SupervisedInstance, view: InstanceView
     ) -> InstanceView:
-        """The view with what must be asked of the instance for this step."""
+        """Return the view, completed with what must be read from the instance for this step."""
         run = supervised.step_run
-        if run is not None and run.step.kind in KINDS_THAT_READ_COUNTERS and supervised.process is not None:
+        if run is not None and run.step.kind in STEP_KINDS_THAT_READ_COUNTERS and supervised.process is not None:
             supervised.counters = await self._launcher.counters(instance)
             view = replace(view, reloads=supervised.reload_counts())
         if supervised.process is None:
-            view = replace(view, address_free=await self._launcher.is_address_free(instance))
+            view = replace(view, has_free_address=await self._launcher.is_address_free(instance))
         return view
 
-    async def _finish(
+    async def _write_result(
         self, tables: OrderStore, run: StepRun, holder: str, action: StepAction, fence: Fence | None
     ) -> None:
         assert action.result is not None
-        await self._access.call(tables.set_result, run.step, holder, action.result, action.detail, fence)
-        log.info("%s: order %d: %s %s", run.step.instance, run.step.order_id, action.result, action.detail)
-
-    async def _do(
+        await self._access.call(tables.set_step_result, run.step, holder, action.result, action.detail, fence)
+        log.info(
+            "step ended: instance=%s order=%d result=%s %s",
+            run.step.instance,
+            run.step.order_id,
+            action.result,
+            action.detail,
+        )
+
+    async def _execute_action(
         self, kind: ActionKind, instance: Instance, supervised: SupervisedInstance, fence: Fence | None
     ) -> None:
         match kind:
             case ActionKind.WANT_DRAINED:
-                await self._access.call(self._access.store.want, instance.name, "drained", fence)
-                supervised.stop_requested = True  # it drains from now on; the next pass reads that it is wanted so
+                await self._access.call(self._access.store.set_wanted, instance.name, "drained", fence)
+                supervised.is_stop_requested = True  # start draining now; the next pass reads the new wanted state
             case ActionKind.STOP:
-                supervised.stop_requested = True
+                supervised.is_stop_requested = True
             case ActionKind.START:
-                supervised.stop_requested = False
+                supervised.is_stop_requested = False
                 supervised.restart_not_before_ms = 0.0
             case ActionKind.RELOAD if supervised.process is not None:
                 supervised.process.reload()
 
 
 class OrderLeader:
-    """Runs all orders while this agent holds their lease, and deletes what is past its retention."""
+    """Runs all orders while this agent holds the lease ``orders``, and deletes old events and orders."""
 
     def __init__(
         self,
@@ -144,7 +162,7 @@
         clock: Clock,
         timeouts: StepTimeouts | None = None,
     ) -> None:
-        """``timeouts``: when steps are given up on; ``None``: the runner's defaults."""
+        """Create a leader; ``timeouts`` says when the runner gives up on a step (``None``: its defaults)."""
         self._access = access
         self._tables = tables
         self._leases = leases
@@ -155,9 +173,12 @@
         self._pruned_ms = clock.steady_ms()
 
     async def run_orders(self, instances: Sequence[Instance]) -> None:
-        """One pass over the open orders, if this agent is the leader. StoreError if the store fails."""
+        """Run one pass over the open orders if this agent is the leader.
+
+        Raises StoreError if the store fails.
+        """
         ownership = self._leases.orders_ownership()
-        if not ownership.owned:
+        if not ownership.is_owned:
             self._runner = None
             return
         if self._runner is None or self._runner_fence != ownership.fence:
@@ -166,22 +187,22 @@
         tables = await self._tables.open()
         now_ms = self._clock.steady_ms()
         for update in self._runner.decide(now_ms, await self._access.call(tables.open_orders), instances):
-            # Checked again before each write; it is the fence that protects the record.
+            # Stop early if the lease was lost. The fence of each write is what protects the store.
             if self._leases.orders_ownership() != ownership:
                 return
-            await self._write(tables, update, ownership.fence)
+            await self._write_update(tables, update, ownership.fence)
         if now_ms - self._pruned_ms >= PRUNE_INTERVAL_MS:
             self._pruned_ms = now_ms
             await self._prune(tables, ownership.fence)
 
-    async def _write(self, tables: OrderStore, update: Update, fence: Fence | None) -> None:
+    async def _write_update(self, tables: OrderStore, update: RecordUpdate, fence: Fence | None) -> None:
         if isinstance(update, OrderUpdate):
-            if await self._access.call(tables.set_order, update.order, update.state, update.why, fence):
-                log.info("%s: %s %s", update.order, update.state, update.why)
+            if await self._access.call(tables.set_order_state, update.order, update.state, update.why, fence):
+                log.info("%s: state=%s %s", update.order, update.state, update.why)
         else:
-            await self._access.call(tables.set_step, update.step, update.state, update.detail, fence)
+            await self._access.call(tables.set_step_state, update.step, update.state, update.detail, fence)
 
     async def _prune(self, tables: OrderStore, fence: Fence | None) -> None:
         before_ms = self._clock.wall_ms() - RETENTION_MS
-        await self._access.call(self._access.store.prune, before_ms, RETENTION_COUNT)
+        await self._access.call(self._access.store.prune_events, before_ms, RETENTION_COUNT)
         await self._access.call(tables.prune, before_ms, RETENTION_COUNT, fence)
--- a/beechslip/agent/process.py
+++ b/beechslip/agent/process.py
@@ -1,4 +1,4 @@
-"""What the agent needs of proxy processes: to start, watch, signal and await them."""
+"""Interfaces through which the agent starts, checks, signals and awaits proxy processes."""
 
 from __future__ import annotations
 
@@ -7,51 +7,54 @@
 from beechslip.store import Instance
 
 
-class Process(Protocol):
-    """A started proxy."""
+class ProxyProcess(Protocol):
+    """A process of a proxy that was started."""
 
     @property
     def pid(self) -> int:
-        """The system's number of the process."""
+        """Process id."""
         ...
 
     @property
     def returncode(self) -> int | None:
-        """The exit code, negative for a signal's number; ``None`` while it runs."""
+        """Exit code, or ``None`` while the process runs; it is the negative signal number after a signal."""
         ...
 
     def terminate(self) -> None:
-        """SIGTERM: the proxy drains and ends."""
+        """Send SIGTERM, on which the proxy drains and exits."""
         ...
 
     def kill(self) -> None:
-        """SIGKILL: the proxy ends at once, with what it has accepted."""
+        """Send SIGKILL, which ends the proxy at once; accepted requests are lost."""
         ...
 
     def reload(self) -> None:
-        """SIGHUP: the proxy reads its configuration file again."""
+        """Send SIGHUP, on which the proxy reads its configuration file again."""
         ...
 
     async def wait(self) -> int:
-        """The exit code, once the process has ended."""
+        """Wait for the process to exit, and return its exit code."""
         ...
 
 
-class Launcher(Protocol):
-    """Starts proxies, and checks how they are."""
+class ProxyLauncher(Protocol):
+    """Starts proxies, and checks their health, address and counters."""
 
-    async def start(self, instance: Instance) -> Process:
-        """Start a process of the instance; OSError if that fails."""
+    async def start(self, instance: Instance) -> ProxyProcess:
+        """Start a process of the instance. Raises OSError if that fails."""
         ...
 
     async def is_healthy(self, instance: Instance) -> bool:
-        """Whether the instance answers its health check."""
+        """True if the instance passes its health check."""
         ...
 
     async def is_address_free(self, instance: Instance) -> bool:
-        """Whether nothing listens at the instance's address; a former agent's process may still be there."""
+        """True if no process listens at the instance's address.
+
+        A process that a previous agent started may still be listening there.
+        """
         ...
 
     async def counters(self, instance: Instance) -> dict[str, int] | None:
-        """The instance's counters; ``None`` where it has no operators' address, or does not answer there."""
+        """Return the instance's counters, or ``None`` if it has no operators' address or does not respond there."""
         ...
--- a/beechslip/agent/regions.py
+++ b/beechslip/agent/regions.py
@@ -1,4 +1,4 @@
-"""Operators' commands for regions: sent to the coordinator through any declared proxy that responds."""
+"""Sends operators' commands for regions to the coordinator, through any declared proxy that responds."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from beechslip.config import Address, ConfigError, parse_address
 from beechslip.store import Instance, StoreError
 
-TIMEOUT_S = 5.0  # of each connection to an instance
-COMMAND_NUMBER_BITS = 60  # of the random number that makes a repeated command count once
-NOT_ENABLED = "does not keep regions: turn them on in deploy/fleet.toml"
-UNKNOWN_CALL_TEXTS = ("no such call", "not a method")  # an operators' port without the call /regions
+CONNECTION_TIMEOUT_S = 5.0  # for each connection to an instance
+COMMAND_NUMBER_BITS = 60  # size of the random number by which a repeated command is recognized and runs once
+REGIONS_DISABLED_TEXT = "has regions disabled: enable them in deploy/fleet.toml"
+UNKNOWN_CALL_TEXTS = ("no such call", "not a method")  # responses of an operators' port that does not serve /regions
 UNKNOWN_CALL_STATUSES = (404, 405)
 
 
 @dataclass(frozen=True, slots=True)
 class CallResponse:
-    """The response of an operators' port: the instance that gave it, the HTTP status and the text."""
+    """A response from an operators' port: the name of the instance, the HTTP status and the response text."""
 
     instance: str
     status: int
@@ -31,9 +31,10 @@
 
 
 def ops_addresses(instances: Iterable[Instance]) -> list[tuple[str, Address]]:
-    """By instance that is wanted running, the operators' address that its configuration names.
+    """Return the name and operators' address of each instance that is wanted running.
 
-    An instance whose configuration cannot be read is left out: the agent reports what is wrong with it.
+    The address is read from the instance's configuration file. An instance whose file cannot be read is left out;
+    the agent reports the error.
     """
     found = []
     for instance in instances:
@@ -48,10 +49,13 @@
 
 
 def call_any(addresses: list[tuple[str, Address]], method: str, target: str) -> CallResponse:
-    """The response of the first instance that gives one; StoreError with all failures if none does."""
+    """Call each instance in turn, and return the first response.
+
+    Raises StoreError, with the failure of each instance, if none responds.
+    """
     failures = []
     for name, address in addresses:
-        connection = http.client.HTTPConnection(address.host, address.port, timeout=TIMEOUT_S)
+        connection = http.client.HTTPConnection(address.host, address.port, timeout=CONNECTION_TIMEOUT_S)
         try:
             connection.request(method, target)
             response = connection.getresponse()
@@ -60,31 +64,32 @@
             failures.append(f"{name} at {address}: {error}")
         finally:
             connection.close()
-    reason = "; ".join(failures) or "none is declared with an address for operators"
-    raise StoreError(f"no instance answers; {reason}")
+    reason = "; ".join(failures) or "no declared instance has an operators' address"
+    raise StoreError(f"no instance answers: {reason}")
 
 
 def send_command(addresses: list[tuple[str, Address]], region: str, command: str, operator: int) -> tuple[int, str]:
-    """Send ``command`` (out, return, hold, free) for ``region``: the HTTP status and the coordinator's text.
+    """Send ``command`` (out, return, hold, free) for ``region``; return the HTTP status and the coordinator's text.
 
-    StoreError if no instance responds, or if the one that does has regions turned off.
+    Raises StoreError if no instance responds, or if the first one that does has regions disabled.
     """
     number = secrets.randbits(COMMAND_NUMBER_BITS) | 1
     query = urlencode({"region": region, "word": command, "who": operator, "number": number})
     response = call_any(addresses, "POST", f"/regions?{query}")
     if response.status in UNKNOWN_CALL_STATUSES and response.text.startswith(UNKNOWN_CALL_TEXTS):
-        raise StoreError(f"{response.instance} {NOT_ENABLED}")
+        raise StoreError(f"{response.instance} {REGIONS_DISABLED_TEXT}")
     return response.status, response.text
 
 
 def table_lines(addresses: list[tuple[str, Address]]) -> list[str]:
-    """A heading and a line for each region: state, fraction of its objects routed there, backends, failed attempts.
+    """Return a heading and a line for each region.
 
-    StoreError if no instance responds, or if the one that does has regions turned off.
+    A line has the region's state, the fraction of its objects that is routed there, its backends and its failed
+    attempts. Raises StoreError if no instance responds, or if the first one that does has regions disabled.
     """
     response = call_any(addresses, "GET", "/regions")
     if response.status != 200:
-        raise StoreError(f"{response.instance} {NOT_ENABLED}")
+        raise StoreError(f"{response.instance} {REGIONS_DISABLED_TEXT}")
     page = orjson.loads(response.text)
     coordinator = page["steward"] or "none"
     heading = f"# steward {coordinator}, order {page['token']}.{page['epoch']}, told by {response.instance}"
--- a/beechslip/agent/supervisor.py
+++ b/beechslip/agent/supervisor.py
@@ -1,7 +1,8 @@
 """Starts, drains and ends the processes of instances.
 
-An act is recorded before it is done, under the fence of the instance's lease: a supervisor that can't record does
-not act, and tries again in the next pass. Processes that run go on running whatever becomes of the store.
+Each action is recorded in the store before it is done, under the fence of the instance's lease. A supervisor that
+cannot record an action does not do it, and tries again in the next pass. Running processes keep running when the
+store fails.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 from collections.abc import Callable, Mapping
 
 from beechslip.agent.health import HealthChecker
-from beechslip.agent.leases import Ownership
-from beechslip.agent.process import Launcher, Process
+from beechslip.agent.leases import LeaseOwnership
+from beechslip.agent.process import ProxyLauncher, ProxyProcess
 from beechslip.agent.store_access import StoreAccess
 from beechslip.agent.supervised import FIRST_BACKOFF_MS, SupervisedInstance
 from beechslip.clock import Clock
@@ -21,31 +22,36 @@
 log = logging.getLogger("beechslip.agent")
 
 DRAIN_TIMEOUT_MS = 10_000.0
-"""Time to drain before SIGKILL: above the longest deadline and what the rules for SIGTERM add."""
+"""Time to drain before SIGKILL.
+
+It is longer than the longest request deadline plus the time that a proxy may add to it after SIGTERM.
+"""
 
 
 class Supervisor:
-    """Changes processes; owns none of the state, which the agent keeps by instance."""
+    """Starts, drains and kills processes. It keeps no state of instances; the agent does."""
 
-    def __init__(self, access: StoreAccess, launcher: Launcher, clock: Clock) -> None:
-        """``access`` records what is done, ``launcher`` does it, ``clock`` times backoffs and draining."""
+    def __init__(self, access: StoreAccess, launcher: ProxyLauncher, clock: Clock) -> None:
+        """Record actions with ``access``, start processes with ``launcher``, and time them by ``clock``."""
         self._access = access
         self._launcher = launcher
         self._clock = clock
         self._health = HealthChecker(access, launcher)
 
-    async def handle_exit(self, instance: Instance, supervised: SupervisedInstance, ownership: Ownership) -> None:
-        """Take note of a process that has ended; recorded only where this agent owns the instance."""
+    async def handle_exit(
+        self, instance: Instance, supervised: SupervisedInstance, ownership: LeaseOwnership
+    ) -> None:
+        """Handle a process that has exited; the event is recorded only if this agent owns the instance."""
         assert supervised.process is not None and supervised.process.returncode is not None
         code = supervised.process.returncode
         kind = supervised.handle_exit(code, self._clock.now_ms())
-        if ownership.owned:
+        if ownership.is_owned:
             await self._access.record_event(instance.name, kind, f"exit code {code}", ownership.fence)
         else:
-            log.info("%s %s exit code %d", instance.name, kind, code)
+            log.info("instance %s: %s exit code %d", instance.name, kind, code)
 
     async def keep_running(self, instance: Instance, supervised: SupervisedInstance, fence: Fence | None) -> None:
-        """Start the instance unless it runs or waits for its restart; check its health if it runs."""
+        """Check the health of the instance if it runs, else start it once its backoff is over."""
         now_ms = self._clock.now_ms()
         if supervised.process is not None:
             await self._health.check(instance, supervised, now_ms, fence)
@@ -58,7 +64,7 @@
         if await self._launcher.is_address_free(instance):
             await self._start(instance, supervised, now_ms, fence)
             return
-        # A former agent's process answers there until it has drained: nothing is started beside it.
+        # The process of a previous agent accepts connections there until it has drained. Do not start a second one.
         if supervised.state != "waiting":
             await self._access.record_event(instance.name, "waits", "its address is in use", fence)
         supervised.state = "waiting"
@@ -67,11 +73,11 @@
         self, instance: Instance, supervised: SupervisedInstance, now_ms: float, fence: Fence | None
     ) -> None:
         is_restart = supervised.state == "waiting" and supervised.last_exit is not None
-        # On record before it is done: an agent that can't record starts nothing.
-        report = self._access.store.report
+        # Record the start first: an agent that cannot record it does not start the process.
+        report = self._access.store.report_status
         if not await self._access.call(report, instance.name, "starting", 0, supervised.restarts, 1.0, fence):
             return
-        supervised.reported = None
+        supervised.reported_status = None
         try:
             process = await self._launcher.start(instance)
         except OSError as error:
@@ -88,7 +94,7 @@
         await self._access.record_event(instance.name, kind, f"process {process.pid}", fence)
 
     async def drain(self, instance: Instance, supervised: SupervisedInstance, fence: Fence | None) -> None:
-        """Send SIGTERM to the process, and SIGKILL if it has not drained in time."""
+        """Send SIGTERM to the process, or SIGKILL once it has not drained in time."""
         if supervised.process is None:
             supervised.state = "drained"
             supervised.restart_not_before_ms = 0.0
@@ -99,21 +105,23 @@
         elif self._drain_timed_out(supervised) and await self._access.record_event(
             instance.name, "killed", "it did not drain in time", fence
         ):
-            supervised.killed = True
+            supervised.was_killed = True
             await supervised.kill()
 
     async def drain_disowned(self, instance: Instance, supervised: SupervisedInstance) -> None:
-        """Drain the process of an instance whose lease another agent holds; nothing is written to the store."""
+        """Drain the process of an instance whose lease another agent holds, without writing to the store."""
         supervised.step_run = None
-        supervised.reported = None
-        supervised.stop_requested = False
+        supervised.reported_status = None
+        supervised.is_stop_requested = False
         if supervised.process is None:
             return
         if supervised.draining_since_ms is None:
-            log.warning("%s has another agent: process %d is drained", instance.name, supervised.pid)
+            log.warning(
+                "instance owned by another agent: draining: instance=%s pid=%d", instance.name, supervised.pid
+            )
             supervised.begin_draining(self._clock.now_ms())
         elif self._drain_timed_out(supervised):
-            supervised.killed = True
+            supervised.was_killed = True
             await supervised.kill()
 
     def _drain_timed_out(self, supervised: SupervisedInstance) -> bool:
@@ -121,11 +129,11 @@
         return since_ms is not None and self._clock.now_ms() - since_ms >= DRAIN_TIMEOUT_MS
 
     async def shut_down(
-        self, instances: Mapping[str, SupervisedInstance], ownership: Callable[[str], Ownership]
+        self, instances: Mapping[str, SupervisedInstance], ownership: Callable[[str], LeaseOwnership]
     ) -> None:
-        """End all processes: SIGTERM to all at once, SIGKILL to those that have not drained in time."""
+        """Stop all processes: send SIGTERM to all of them, and SIGKILL to those that have not drained in time."""
         timed_out = asyncio.Event()
-        alarm = self._clock.call_later(DRAIN_TIMEOUT_MS, timed_out.set)
+        timer = self._clock.call_later(DRAIN_TIMEOUT_MS, timed_out.set)
         running = [
             (name, supervised, supervised.process)
             for name, supervised in instances.items()
@@ -139,15 +147,15 @@
             for name, supervised, process in running:
                 code = await self._await_exit(process, timeout)
                 owner = ownership(name)
-                if owner.owned:
+                if owner.is_owned:
                     await self._record_shutdown(name, supervised, code, owner.fence)
         finally:
-            alarm.cancel()
+            timer.cancel()
             timeout.cancel()
             await asyncio.gather(timeout, return_exceptions=True)
 
-    async def _await_exit(self, process: Process, timeout: asyncio.Task[bool]) -> int:
-        """The exit code of a process, which is killed if ``timeout`` ends first."""
+    async def _await_exit(self, process: ProxyProcess, timeout: asyncio.Task[bool]) -> int:
+        """Wait for a process to exit and return its exit code; kill it if ``timeout`` ends first."""
         exited = asyncio.create_task(process.wait())
         try:
             await asyncio.wait([exited, timeout], return_when=asyncio.FIRST_COMPLETED)
@@ -162,5 +170,5 @@
         self, name: str, supervised: SupervisedInstance, code: int, fence: Fence | None
     ) -> None:
         await self._access.record_event(name, "drained", f"exit code {code}, with the agent", fence)
-        report = self._access.store.report
-        await self._access.attempt(self._access.call(report, name, "drained", 0, supervised.restarts, 1.0, fence))
+        report = self._access.store.report_status
+        await self._access.try_await(self._access.call(report, name, "drained", 0, supervised.restarts, 1.0, fence))
--- a/beechslip/cli.py
+++ b/beechslip/cli.py
@@ -15,7 +15,7 @@
 
 from beechslip import process
 from beechslip.agent import regions
-from beechslip.agent.agent import POLL_MS, Agent
+from beechslip.agent.agent import POLL_INTERVAL_MS, Agent
 from beechslip.agent.launcher import LocalLauncher
 from beechslip.agent.leases import StoredAgentLeases
 from beechslip.agent.store_access import StoreAccess
@@ -31,7 +31,7 @@
 INCARNATION_BITS = 40
 SHOWN_FIELDS = ("name", "config", "listen", "wanted", "state", "pid", "restarts")
 
-MIN_LEASE_MS = 5 * POLL_MS / 2
+MIN_LEASE_MS = 5 * POLL_INTERVAL_MS / 2
 """A shorter lease could end between two extensions."""
 
 HOME_LEASES = 2.0
@@ -57,9 +57,9 @@
             for field in SHOWN_FIELDS:
                 print(f"{field}: {getattr(found, field)}")
         case "drain":
-            store.want(arguments.name, "drained")
+            store.set_wanted(arguments.name, "drained")
         case "run":
-            store.want(arguments.name, "running")
+            store.set_wanted(arguments.name, "running")
         case "remove":
             _remove(store, arguments.name)
 
@@ -69,16 +69,16 @@
         parse_address(arguments.listen)
     config = str(Path(arguments.config).resolve())
     store.add(Instance(arguments.name, config, arguments.listen, zone=arguments.zone, home=arguments.home))
-    store.record(SystemClock().now_ms(), arguments.name, "declared")
+    store.record_event(SystemClock().now_ms(), arguments.name, "declared")
 
 
 def _remove(store: Store, name: str) -> None:
     """Have the agent drain and delete an instance; one that no agent has taken up is deleted at once."""
-    store.want(name, "removed")
+    store.set_wanted(name, "removed")
     found = store.get(name)
     if found is not None and found.state == "declared":
         store.remove(name)
-        store.record(SystemClock().now_ms(), name, "removed")
+        store.record_event(SystemClock().now_ms(), name, "removed")
 
 
 def events_command(store: Store, arguments: argparse.Namespace) -> None:
@@ -111,8 +111,8 @@
         raise StoreError(f"an agent needs a name, and a lease of {MIN_LEASE_MS:g} ms or more to extend it in time")
     clock = SystemClock()
     incarnation = secrets.randbits(INCARNATION_BITS)
-    tuning = LeaseTuning(lease_ms, lease_ms, lease_ms / 10.0, resend_ms=POLL_MS)
-    leases = StoredLeases(name, incarnation, store.rows, clock.steady_ms, tuning, random.Random(incarnation))
+    tuning = LeaseTuning(lease_ms, lease_ms, lease_ms / 10.0, resend_ms=POLL_INTERVAL_MS)
+    leases = StoredLeases(name, incarnation, store.connection, clock.steady_ms, tuning, random.Random(incarnation))
     agent_leases = StoredAgentLeases(leases, clock.steady_ms, HOME_LEASES * lease_ms)
     agent = Agent(StoreAccess(store, clock), LocalLauncher(), clock, agent_leases, name)
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/beechslip/cli_orders.py
+++ b/beechslip/cli_orders.py
@@ -7,9 +7,9 @@
 from collections.abc import Mapping
 
 from beechslip.clock import SystemClock
-from beechslip.orders.model import OPEN_ORDER_STATES, Order, report
+from beechslip.orders.model import OPEN_ORDER_STATES, Order, build_report
 from beechslip.orders.order_store import OrderLimits, OrderStore
-from beechslip.orders.runner import OrderUpdate, cancellation
+from beechslip.orders.runner import OrderUpdate, cancellation_updates
 from beechslip.store import Instance, Store, StoreError
 
 LISTED_ORDERS = 20
@@ -21,7 +21,7 @@
 
     StoreError if the store fails, or the arguments name what it does not have.
     """
-    orders = OrderStore(store.rows)
+    orders = OrderStore(store.connection)
     match arguments.action:
         case "list":
             _print_list(orders)
@@ -49,18 +49,18 @@
 
 
 def _print_report(order: Order) -> int:
-    found = report(order)
+    found = build_report(order)
     print("\n".join(found.lines()))
     incomplete = order.state == "done" and bool(found.not_done)
     return 1 if order.state == "refused" or incomplete else 0
 
 
 def _cancel(orders: OrderStore, order: Order) -> None:
-    for update in cancellation(order):
+    for update in cancellation_updates(order):
         if isinstance(update, OrderUpdate):
-            orders.set_order(update.order, update.state, update.why, None)
+            orders.set_order_state(update.order, update.state, update.why, None)
         else:
-            orders.set_step(update.step, update.state, update.detail, None)
+            orders.set_step_state(update.step, update.state, update.detail, None)
 
 
 def _give(store: Store, orders: OrderStore, arguments: argparse.Namespace) -> int:
--- a/beechslip/leases/stored.py
+++ b/beechslip/leases/stored.py
@@ -20,7 +20,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from beechslip.leases.paxos import LeaseTuning
-from beechslip.store import Rows, StoreError
+from beechslip.store import SqlConnection, StoreError
 
 CREATE_TABLE = """CREATE TABLE IF NOT EXISTS leases (
     name TEXT PRIMARY KEY, holder TEXT NOT NULL, token BIGINT NOT NULL, beat BIGINT NOT NULL,
@@ -94,7 +94,7 @@
 
     me: str
     incarnation: int
-    rows: Rows
+    rows: SqlConnection
     clock: Callable[[], float]
     tuning: LeaseTuning = field(default_factory=LeaseTuning)
     rng: random.Random = field(default_factory=lambda: random.Random(0))
--- a/beechslip/orders/__init__.py
+++ b/beechslip/orders/__init__.py
@@ -1,1 +1,4 @@
-"""Orders over many instances that outlive whoever runs them. Decisions here are pure; the store keeps the record."""
+"""Operators' orders over many instances, which survive the exit of the agent that runs them.
+
+The store keeps their state; the code that decides on them does no I/O.
+"""
--- a/beechslip/orders/runner.py
+++ b/beechslip/orders/runner.py
@@ -1,10 +1,10 @@
-"""Decides how orders go on: which steps to request, when to pause, when to give up on a step. Pure.
+"""Decides how orders continue: which steps to request, when to pause, and when to give up on a step.
 
-An :class:`OrderRunner` lasts for one tenure of the lease ``orders``. :meth:`OrderRunner.decide` reads the record and
-returns what is to be written to it. It keeps nothing but how long each step has been as it is, by its own steady
-clock: a successor begins these timeouts anew, which costs time and nothing else. Every update is written under the
-tenure's fence and requires the step to be as it was read; an update whose answer was lost is read again in the next
-pass.
+This module does no I/O. An :class:`OrderRunner` lasts for one tenure of the lease ``orders``.
+:meth:`OrderRunner.decide` gets the stored orders and returns the updates to write. The runner's only own state is how
+long each step has been in its current state, by its own steady clock. A successor starts these timeouts again, which
+only costs time. Every update is written under the fence of the tenure, and only if the step is still as it was read.
+An update of which the response was lost shows in the rows that the next pass reads.
 """
 
 from __future__ import annotations
@@ -18,21 +18,27 @@
 from beechslip.store import Instance
 
 ORDERS_LEASE = "orders"
-"""Name of the lease whose holder runs orders."""
+"""Name of the lease whose holder runs the orders."""
 
 TAKE_TIMEOUT_MS = 20_000.0
-"""A request for a step that no agent takes by then is withdrawn: a takeover after a dead agent fits well within."""
+"""Time after which a request for a step is withdrawn if no agent has taken it.
+
+It is well above the time in which another agent takes over from a dead one.
+"""
 
 RESULT_TIMEOUT_MS = 90_000.0
-"""A taken step without a result by then is ``unknown``: a drain, a start and a takeover fit within."""
+"""Time after which a taken step without a result becomes ``unknown``.
 
-SERVED_STEPS = 20
-"""The served fraction in a reason is rounded up to 1/20, so that each small change is not a new reason."""
+It is above the time for a drain, a start and a takeover together.
+"""
+
+SERVED_ROUNDING_STEPS = 20
+"""The served fraction in a reason is rounded up to 1/20, so that a small change does not make a new reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepUpdate:
-    """Set a step's state, if it is still as it was read."""
+    """Sets a step's state if the step is still as it was read."""
 
     step: Step
     state: StepState
@@ -41,19 +47,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderUpdate:
-    """Set an order's state, if it is still as it was read."""
+    """Sets an order's state if the order is still as it was read."""
 
     order: Order
     state: OrderState
     why: str = ""
 
 
-Update = StepUpdate | OrderUpdate
+RecordUpdate = StepUpdate | OrderUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class StepTimeouts:
-    """Timeouts in ms; see ``TAKE_TIMEOUT_MS`` and ``RESULT_TIMEOUT_MS``."""
+    """Timeouts of steps in ms; see ``TAKE_TIMEOUT_MS`` and ``RESULT_TIMEOUT_MS``."""
 
     take_ms: float = TAKE_TIMEOUT_MS
     result_ms: float = RESULT_TIMEOUT_MS
@@ -61,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Observation:
-    """A step's state and holder, and since when they were seen."""
+    """A step's state and holder, and the steady time since which they are unchanged."""
 
     state: StepState
     holder: str
@@ -69,24 +75,24 @@
 
 
 class OrderRunner:
-    """The runner of all orders for one tenure. Bound: one observation for each step of a begun order."""
+    """The runner of all orders for one tenure. Bound: it keeps one observation for each step of a begun order."""
 
     def __init__(self, timeouts: StepTimeouts | None = None) -> None:
-        """``timeouts``: ``None`` for the defaults."""
+        """Create a runner; without ``timeouts`` the defaults apply."""
         self.timeouts = timeouts or StepTimeouts()
         self._observed: dict[tuple[int, str], _Observation] = {}  # by order and instance
 
-    def decide(self, now_ms: float, orders: Sequence[Order], fleet: Sequence[Instance]) -> list[Update]:
-        """The updates to write now, in this order; ``now_ms`` is steady time."""
-        updates: list[Update] = [OrderUpdate(v.order, v.state, v.why) for v in resolve_conflicts(orders)]
-        begun = [order for order in orders if order.begun]
-        self._observe(now_ms, begun)
-        for order in begun:
+    def decide(self, now_ms: float, orders: Sequence[Order], fleet: Sequence[Instance]) -> list[RecordUpdate]:
+        """Return the updates to write now, in this order; ``now_ms`` is steady time."""
+        updates: list[RecordUpdate] = [OrderUpdate(v.order, v.state, v.why) for v in resolve_conflicts(orders)]
+        has_begun = [order for order in orders if order.has_begun]
+        self._update_observations(now_ms, has_begun)
+        for order in has_begun:
             updates += self._decide_order(now_ms, order, fleet)
         return updates
 
-    def _observe(self, now_ms: float, orders: Iterable[Order]) -> None:
-        """Note since when each step is as it is, and forget steps that are gone."""
+    def _update_observations(self, now_ms: float, orders: Iterable[Order]) -> None:
+        """Record since when each step has been in its current state, and drop steps that no longer exist."""
         before = self._observed
         self._observed = {}
         for order in orders:
@@ -97,9 +103,9 @@
                     seen = _Observation(step.state, step.holder, now_ms)
                 self._observed[key] = seen
 
-    def _decide_order(self, now_ms: float, order: Order, fleet: Sequence[Instance]) -> list[Update]:
-        updates = self._timed_out(now_ms, order)
-        if all(step.final for step in order.steps):
+    def _decide_order(self, now_ms: float, order: Order, fleet: Sequence[Instance]) -> list[RecordUpdate]:
+        updates = self._timeout_updates(now_ms, order)
+        if all(step.is_final for step in order.steps):
             count = sum(step.state == "done" for step in order.steps)
             return [*updates, OrderUpdate(order, "done", f"{count} of {len(order.steps)} done")]
         reason = pause_reason(order, fleet)
@@ -111,9 +117,9 @@
             return [*updates, OrderUpdate(order, "running")]
         return updates + [StepUpdate(step, "asked") for step in self._next_steps(order, order.steps)]
 
-    def _timed_out(self, now_ms: float, order: Order) -> list[Update]:
-        """Updates that give up on steps which nobody took, or of which no result came."""
-        updates: list[Update] = []
+    def _timeout_updates(self, now_ms: float, order: Order) -> list[RecordUpdate]:
+        """Return updates for the steps that no agent took in time, or that got no result in time."""
+        updates: list[RecordUpdate] = []
         for step in order.steps:
             elapsed_ms = now_ms - self._observed[step.order_id, step.instance].since_ms
             if step.state == "asked" and elapsed_ms >= self.timeouts.take_ms:
@@ -125,10 +131,10 @@
 
     @staticmethod
     def _next_steps(order: Order, steps: Iterable[Step]) -> list[Step]:
-        """Steps to request besides those in progress, within the limits of the order and of each zone."""
+        """Return the steps to request besides those in progress, within the limits of the order and of each zone."""
         steps = list(steps)
         zone_sizes = Counter(step.zone for step in steps)
-        in_progress = Counter(step.zone for step in steps if step.in_progress)
+        in_progress = Counter(step.zone for step in steps if step.is_in_progress)
         capacity = order.at_most - in_progress.total()
         chosen = []
         for step in sorted((s for s in steps if s.state == "waiting"), key=lambda step: step.instance):
@@ -142,8 +148,11 @@
 
 
 def pause_reason(order: Order, fleet: Sequence[Instance]) -> str:
-    """Why the order should pause, by the state of the instances that it is not working on; "" if it need not."""
-    in_progress = {step.instance for step in order.steps if step.in_progress}
+    """Return why the order should pause, or "" if it should not.
+
+    Only the instances that the order is not working on count.
+    """
+    in_progress = {step.instance for step in order.steps if step.is_in_progress}
     others = [i for i in fleet if i.wanted == "running" and i.name not in in_progress]
     if not others:
         return ""
@@ -155,23 +164,23 @@
         return f"{len(healthy)} of {len(others)} instances are healthy, under {order.least_healthy:g}: {names}{more}"
     served = sum(instance.served for instance in healthy) / len(healthy) if healthy else 1.0
     if served < order.least_served:
-        rounded = math.ceil(served * SERVED_STEPS) / SERVED_STEPS
+        rounded = math.ceil(served * SERVED_ROUNDING_STEPS) / SERVED_ROUNDING_STEPS
         return f"under {rounded:g} of requests are served, less than {order.least_served:g}"
     return ""
 
 
-def cancellation(order: Order) -> list[Update]:
-    """Updates that cancel an order: steps in progress go on to their end, the others are never requested."""
-    updates: list[Update] = [
+def cancellation_updates(order: Order) -> list[RecordUpdate]:
+    """Return updates that cancel an order: steps in progress continue to their end, others are not requested."""
+    updates: list[RecordUpdate] = [
         StepUpdate(step, "refused", "the order was cancelled") for step in order.steps if step.state == "waiting"
     ]
-    if not order.begun:
+    if not order.has_begun:
         updates.append(OrderUpdate(order, "cancelled"))
     return updates
 
 
-def with_updates(order: Order, updates: Iterable[Update]) -> Order:
-    """The order as it is once ``updates`` are written."""
+def with_updates(order: Order, updates: Iterable[RecordUpdate]) -> Order:
+    """Return the order as it is after ``updates`` are written."""
     for update in updates:
         if isinstance(update, OrderUpdate):
             if update.order.id == order.id:
--- a/beechslip/orders/step_run.py
+++ b/beechslip/orders/step_run.py
@@ -1,9 +1,10 @@
-"""Decides what an agent does for one step of an order on an instance whose lease it holds. Pure.
+"""Decides what an agent does for one step of an order, on an instance whose lease it holds.
 
-In each reconciliation pass :class:`StepRun` gets the state of the instance (:class:`InstanceView`) and returns the
-next :class:`StepAction`. The step is in the store as ``taken`` before the first action, so a successor of an agent
-that was killed between the write and the action finds it there. The former agent's proxy has ended or will end (a
-proxy drains when its agent is gone), so the successor does what is left of the step and can tell when it is done.
+This module does no I/O. In each reconciliation pass :class:`StepRun` gets the state of the instance
+(:class:`InstanceView`) and returns the next :class:`StepAction`. The step is stored as ``taken`` before the first
+action, so the successor of an agent that was killed between the write and the action finds it. The previous agent's
+proxy has exited or will exit, because a proxy drains when its agent exits. The successor therefore does the rest of
+the step and can tell when it is complete.
 """
 
 from __future__ import annotations
@@ -13,47 +14,47 @@
 from enum import StrEnum
 
 from beechslip.orders.model import Step, StepState
-from beechslip.store import State, Wanted
+from beechslip.store import InstanceState, WantedState
 
-RETUNE_MS = 1000.0
-"""Time after a reload signal until the reload shows in the proxy's counters."""
+RELOAD_WAIT_MS = 1000.0
+"""Time after the reload signal within which the reload shows in the proxy's counters."""
 
-INSPECT_MS = 15_000.0
-"""Time for an instance to become healthy, or to be released by a former agent, before an inspection fails."""
+INSPECT_TIMEOUT_MS = 15_000.0
+"""Time after which an inspection fails if the instance is not healthy or a previous agent has not released it."""
 
-UNSEEN = "nobody saw how"
-"""Part of a step's detail where no agent observed how the process ended."""
+EXIT_NOT_OBSERVED = "nobody saw how"
+"""Part of a step's detail if no agent observed how the process ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessExit:
     """How a process ended.
 
-    ``code`` is its exit code, negative for the number of the signal that ended it; ``killed``: the agent sent
-    SIGKILL because it did not drain in time.
+    ``code`` is its exit code, or the negative number of the signal that ended it. ``was_killed`` is true if the agent
+    sent SIGKILL because the process did not drain in time.
     """
 
     pid: int
     code: int
-    killed: bool = False
+    was_killed: bool = False
 
     @property
-    def orderly(self) -> bool:
-        """Whether no request was lost.
+    def is_orderly(self) -> bool:
+        """True if no request was lost.
 
-        A process that SIGTERM ended outright had not begun to serve and so had accepted nothing.
+        A process that SIGTERM ended at once had not begun to serve, so it had accepted no request.
         """
-        return self.code in (0, -signal.SIGTERM) and not self.killed
+        return self.code in (0, -signal.SIGTERM) and not self.was_killed
 
     def __str__(self) -> str:
-        """The exit in words, as a step's detail gives it."""
-        why = "killed, as it did not drain in time" if self.killed else f"ended with {self.code}"
+        """Return the description of the exit for a step's detail."""
+        why = "killed, as it did not drain in time" if self.was_killed else f"ended with {self.code}"
         return f"process {self.pid} {why}"
 
 
 @dataclass(frozen=True, slots=True)
 class ReloadCounts:
-    """Reloads of the configuration file since the process started, by the proxy's counters."""
+    """Numbers of accepted and rejected reloads since the process started, from the proxy's counters."""
 
     accepted: int
     rejected: int
@@ -61,24 +62,25 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceView:
-    """State of an instance in one pass.
+    """The state of an instance in one pass.
 
-    ``pid`` is 0 where this agent runs no process of it; ``reloads`` is ``None`` where the counters can't be read;
-    ``address_free``: this agent runs no process of it, and no other process accepts connections at its address.
+    ``pid`` is 0 if this agent runs no process of the instance. ``reloads`` is ``None`` if the counters cannot be
+    read. ``has_free_address`` is true if this agent runs no process of the instance and no other process accepts
+    connections at its address.
     """
 
-    wanted: Wanted
-    state: State
+    wanted: WantedState
+    state: InstanceState
     pid: int = 0
     last_exit: ProcessExit | None = None
     reloads: ReloadCounts | None = None
     served: float = 1.0
     restarts: int = 0
-    address_free: bool = True
+    has_free_address: bool = True
 
 
 class ActionKind(StrEnum):
-    """What the agent is to do next; the last three end the step."""
+    """What the agent does next; the last three kinds end the step."""
 
     WAIT = "wait"
     WANT_DRAINED = "want drained"
@@ -90,7 +92,7 @@
     DIED = "died"
 
 
-RESULTS: dict[ActionKind, StepState] = {
+STEP_STATE_BY_ACTION: dict[ActionKind, StepState] = {
     ActionKind.DONE: "done",
     ActionKind.REFUSED: "refused",
     ActionKind.DIED: "died",
@@ -99,137 +101,145 @@
 
 @dataclass(frozen=True, slots=True)
 class StepAction:
-    """The next action of a step; ``detail`` explains a final one to operators."""
+    """The next action of a step; ``detail`` explains a final action to operators."""
 
     kind: ActionKind
     detail: str = ""
 
     @property
     def result(self) -> StepState | None:
-        """The final state of the step, or ``None`` while it goes on."""
-        return RESULTS.get(self.kind)
+        """The final state of the step, or ``None`` if the step is not at its end."""
+        return STEP_STATE_BY_ACTION.get(self.kind)
 
 
-WAIT = StepAction(ActionKind.WAIT)
+WAIT_ACTION = StepAction(ActionKind.WAIT)
 
 
-def done(detail: str = "") -> StepAction:
-    """The step is complete."""
+def done_action(detail: str = "") -> StepAction:
+    """Return the action that ends a step that is complete."""
     return StepAction(ActionKind.DONE, detail)
 
 
-def refused(detail: str) -> StepAction:
-    """The step does not apply to the instance as it is; nothing was lost."""
+def refused_action(detail: str) -> StepAction:
+    """Return the action that ends a step that does not apply to the instance; no request was lost."""
     return StepAction(ActionKind.REFUSED, detail)
 
 
-def died(detail: str) -> StepAction:
-    """A process ended out of order, or did not do what it was asked to."""
+def died_action(detail: str) -> StepAction:
+    """Return the action that ends a step whose process exited irregularly or did not do what the step requires."""
     return StepAction(ActionKind.DIED, detail)
 
 
 class StepRun:
-    """One step on one instance, executed by one incarnation of one agent."""
+    """One step on one instance, as one incarnation of one agent executes it."""
 
     def __init__(self, step: Step, view: InstanceView, now_ms: float, previous_holder: str = "") -> None:
-        """Begin at steady time ``now_ms``; ``previous_holder``: the agent that had taken the step before, if any."""
+        """Begin the step at steady time ``now_ms``.
+
+        ``previous_holder`` is the agent that had taken the step before; "" if there is none.
+        """
         self.step = step
         self.previous_holder = previous_holder
         self.began_ms = now_ms
-        # A process that a successor has started already is what a restart was to bring about.
+        # If a successor takes over a restart, a process that it runs already is the result of that restart.
         self.pid = 0 if previous_holder and step.kind == "restart" else view.pid
         self._reloads_before = view.reloads
         self._exit_before = view.last_exit
-        self._first_pass = True
+        self._is_first_pass = True
         self._exit: ProcessExit | None = None
-        self._foreign_process_seen = False  # a former agent's process was seen at its address
+        self._foreign_process_seen = False  # a process of a previous agent accepted connections at the address
 
     def next_action(self, now_ms: float, view: InstanceView) -> StepAction:
-        """The action for this pass, at steady time ``now_ms``. Call it once in each pass until it has a result."""
-        first = self._first_pass
-        self._first_pass = False
-        own_exit = view.last_exit is not None and self.pid != 0 and view.last_exit.pid == self.pid
-        if own_exit and view.last_exit != self._exit_before:
+        """Return the action for this pass, at steady time ``now_ms``.
+
+        Call it once in each pass until the action has a result.
+        """
+        is_first = self._is_first_pass
+        self._is_first_pass = False
+        is_own_exit = view.last_exit is not None and self.pid != 0 and view.last_exit.pid == self.pid
+        if is_own_exit and view.last_exit != self._exit_before:
             self._exit = view.last_exit
         match self.step.kind:
             case "drain":
-                return self._drain(view)
+                return self._drain_action(view)
             case "restart":
-                return self._restart(first, view)
+                return self._restart_action(is_first, view)
             case "retune":
-                return self._retune(first, now_ms, view)
+                return self._retune_action(is_first, now_ms, view)
             case "inspect":
-                return self._inspect(now_ms, view)
+                return self._inspect_action(now_ms, view)
 
-    def _drain(self, view: InstanceView) -> StepAction:
+    def _drain_action(self, view: InstanceView) -> StepAction:
         if view.wanted == "running":
             return StepAction(ActionKind.WANT_DRAINED)
-        if not view.pid and not view.address_free:
+        if not view.pid and not view.has_free_address:
             self._foreign_process_seen = True
-        if view.pid or not view.address_free:
-            return WAIT
+        if view.pid or not view.has_free_address:
+            return WAIT_ACTION
         if self._exit is not None:
-            return done(str(self._exit)) if self._exit.orderly else died(str(self._exit))
+            return done_action(str(self._exit)) if self._exit.is_orderly else died_action(str(self._exit))
         if self.previous_holder:
-            return done(f"it does not run; {UNSEEN} it ended: taken over from {self.previous_holder}")
+            return done_action(
+                f"it does not run; {EXIT_NOT_OBSERVED} it ended: taken over from {self.previous_holder}"
+            )
         if self._foreign_process_seen:
-            return done(f"it does not run; {UNSEEN} it ended: it was a former agent's")
-        if view.last_exit is not None and not view.last_exit.orderly:
-            return died(f"{view.last_exit} before it could drain")
-        return done("it was not running")
+            return done_action(f"it does not run; {EXIT_NOT_OBSERVED} it ended: it was a former agent's")
+        if view.last_exit is not None and not view.last_exit.is_orderly:
+            return died_action(f"{view.last_exit} before it could drain")
+        return done_action("it was not running")
 
-    def _restart(self, first: bool, view: InstanceView) -> StepAction:
+    def _restart_action(self, is_first: bool, view: InstanceView) -> StepAction:
         if view.wanted != "running":
-            return refused(f"it is wanted {view.wanted}")
-        if first and self.pid:
+            return refused_action(f"it is wanted {view.wanted}")
+        if is_first and self.pid:
             return StepAction(ActionKind.STOP)
         if self.pid and self._exit is None:
-            return WAIT if view.pid == self.pid else died(f"process {self.pid} is gone, nobody saw how")
+            return WAIT_ACTION if view.pid == self.pid else died_action(f"process {self.pid} is gone, nobody saw how")
         if self.pid and view.last_exit == self._exit and not view.pid and view.state != "starting":
             return StepAction(ActionKind.START)
         if view.state == "healthy" and view.pid and view.pid != self.pid:
             return self._restarted(view)
         if view.last_exit is not None and view.last_exit not in (self._exit, self._exit_before):
-            return died(f"{view.last_exit} after the restart")
-        return WAIT
+            return died_action(f"{view.last_exit} after the restart")
+        return WAIT_ACTION
 
     def _restarted(self, view: InstanceView) -> StepAction:
-        """The result once a new process is healthy."""
+        """Return the result of a restart whose new process is healthy."""
         running = f"process {view.pid} runs"
-        if not self.pid:  # another's process, or none, when the step was taken
+        if not self.pid:  # when the step was taken, another agent ran the process, or none ran
             taken_over = f", taken over from {self.previous_holder}" if self.previous_holder else ""
-            return done(f"{running}{taken_over}; {UNSEEN} the one before ended")
-        if self._exit is not None and not self._exit.orderly:
-            return died(f"{self._exit}; {running}")
-        return done(running)
-
-    def _retune(self, first: bool, now_ms: float, view: InstanceView) -> StepAction:
-        if self.previous_holder:  # a process that was started since has read the file as it is now
-            return done(f"process {view.pid} runs since") if view.state == "healthy" else WAIT
+            return done_action(f"{running}{taken_over}; {EXIT_NOT_OBSERVED} the one before ended")
+        if self._exit is not None and not self._exit.is_orderly:
+            return died_action(f"{self._exit}; {running}")
+        return done_action(running)
+
+    def _retune_action(self, is_first: bool, now_ms: float, view: InstanceView) -> StepAction:
+        if self.previous_holder:  # a process that was started since then has read the current file
+            return done_action(f"process {view.pid} runs since") if view.state == "healthy" else WAIT_ACTION
         if not self.pid:
-            return refused(f"it is not running ({view.state})")
-        if first:
+            return refused_action(f"it is not running ({view.state})")
+        if is_first:
             self.began_ms = now_ms
             return StepAction(ActionKind.RELOAD)
         if view.pid != self.pid:
-            return died(str(self._exit or f"process {self.pid} is gone"))
-        if now_ms - self.began_ms < RETUNE_MS:
-            return WAIT
+            return died_action(str(self._exit or f"process {self.pid} is gone"))
+        if now_ms - self.began_ms < RELOAD_WAIT_MS:
+            return WAIT_ACTION
         return self._reload_result(view.reloads)
 
     def _reload_result(self, reloads: ReloadCounts | None) -> StepAction:
-        """The result of a reload, by the counters before and after it."""
+        """Return the result of a reload, from the counters before and after it."""
         before = self._reloads_before
         if before is None or reloads is None:
-            return done("told; its counters can't be read")
+            return done_action("told; its counters can't be read")
         if reloads.rejected != before.rejected:
-            return refused("it can't use its file; the log names what is wrong")
+            return refused_action("it can't use its file; the log names what is wrong")
         if reloads.accepted != before.accepted:
-            return done()
-        return died("it did not take up its file")
+            return done_action()
+        return died_action("it did not take up its file")
 
-    def _inspect(self, now_ms: float, view: InstanceView) -> StepAction:
+    def _inspect_action(self, now_ms: float, view: InstanceView) -> StepAction:
         summary = f"{view.state}, process {view.pid or '-'}, {view.restarts} restarts, {view.served:.0%} served"
-        if view.state == "healthy" or (view.state == "drained" and view.address_free):
-            return done(summary)
-        return WAIT if now_ms - self.began_ms < INSPECT_MS else died(summary)
+        if view.state == "healthy" or (view.state == "drained" and view.has_free_address):
+            return done_action(summary)
+        return WAIT_ACTION if now_ms - self.began_ms < INSPECT_TIMEOUT_MS else died_action(summary)
--- a/beechslip/store/sql.py
+++ b/beechslip/store/sql.py
@@ -1,16 +1,16 @@
-"""The store in the SQL that SQLite and PostgreSQL share; parameters are named, as in ``:name``.
+"""The store, in the SQL that SQLite and PostgreSQL have in common. Parameters are named, as in ``:name``.
 
-Bounds: one row for each instance; events are pruned by age and count (:meth:`SqlStore.prune`) by the agent that
-runs orders.
+Bounds: there is one row for each instance. The agent that runs the orders prunes events by age and count
+(:meth:`SqlStore.prune_events`).
 """
 
 from __future__ import annotations
 
 from typing import Any, Protocol
 
-from beechslip.store import Event, Fence, Instance, Rows, State, StoreError, Wanted
+from beechslip.store import Fence, Instance, InstanceEvent, InstanceState, SqlConnection, StoreError, WantedState
 
-INSTANCES_TABLE = """CREATE TABLE IF NOT EXISTS instances (
+CREATE_INSTANCES_TABLE = """CREATE TABLE IF NOT EXISTS instances (
     name TEXT PRIMARY KEY, config TEXT NOT NULL, listen TEXT NOT NULL, wanted TEXT NOT NULL,
     state TEXT NOT NULL, pid BIGINT NOT NULL, restarts BIGINT NOT NULL)"""
 ADDED_COLUMNS = (
@@ -18,24 +18,24 @@
     ("home", "TEXT NOT NULL DEFAULT ''"),
     ("served", "DOUBLE PRECISION NOT NULL DEFAULT 1"),
 )
-"""Columns that the table of an earlier version lacks, with their types."""
+"""Columns that the table of an earlier version does not have, with their types."""
 
-EVENTS_TABLE = """CREATE TABLE IF NOT EXISTS events (
+CREATE_EVENTS_TABLE = """CREATE TABLE IF NOT EXISTS events (
     id {serial}, at_ms DOUBLE PRECISION NOT NULL, instance TEXT NOT NULL, kind TEXT NOT NULL,
     detail TEXT NOT NULL)"""
-COLUMNS = "name, config, listen, wanted, state, pid, restarts, zone, home, served"
+INSTANCE_COLUMNS = "name, config, listen, wanted, state, pid, restarts, zone, home, served"
 
 
-class Database(Rows, Protocol):
-    """A connection, as a store owns it."""
+class ClosableSqlConnection(SqlConnection, Protocol):
+    """A connection that its owner, the store, can close."""
 
     def close(self) -> None:
         """Close the connection."""
         ...
 
 
-def fenced(fence: Fence | None) -> tuple[str, dict[str, Any]]:
-    """A condition that is true only while the fence's holder holds its lease, and the values of its parameters."""
+def fence_condition(fence: Fence | None) -> tuple[str, dict[str, Any]]:
+    """Return an SQL condition that is true only while the fence's holder holds its lease, and its parameters."""
     if fence is None:
         return "1 = 1", {}
     where = (
@@ -46,28 +46,28 @@
 
 
 class SqlStore:
-    """A store over a connection, which it owns and closes. StoreError where a statement fails."""
+    """A store on a connection, which it owns and closes. Raises StoreError if a statement fails."""
 
-    def __init__(self, database: Database) -> None:
-        """Create the tables where they are missing, and columns that an earlier version's lack."""
+    def __init__(self, database: ClosableSqlConnection) -> None:
+        """Create missing tables, and add the columns that tables of an earlier version do not have."""
         self._db = database
-        database.run(INSTANCES_TABLE)
+        database.run(CREATE_INSTANCES_TABLE)
         for name, sql_type in ADDED_COLUMNS:
             try:
                 database.run(f"SELECT {name} FROM instances LIMIT 0")
             except StoreError:
                 database.run(f"ALTER TABLE instances ADD COLUMN {name} {sql_type}")
-        database.run(EVENTS_TABLE.format(serial=database.serial))
+        database.run(CREATE_EVENTS_TABLE.format(serial=database.serial))
 
     @property
-    def rows(self) -> Rows:
-        """The connection, for the tables of leases and orders."""
+    def connection(self) -> SqlConnection:
+        """The connection, which the lease and order tables also use."""
         return self._db
 
     def add(self, instance: Instance) -> None:
-        """Declare an instance; StoreError if the name is taken."""
+        """Declare an instance. Raises StoreError if the name is already declared."""
         rows = self._db.run(
-            f"INSERT INTO instances ({COLUMNS}) VALUES (:name, :config, :listen, :wanted, :state, :pid, "
+            f"INSERT INTO instances ({INSTANCE_COLUMNS}) VALUES (:name, :config, :listen, :wanted, :state, :pid, "
             ":restarts, :zone, :home, :served) ON CONFLICT (name) DO NOTHING RETURNING name",
             name=instance.name,
             config=instance.config,
@@ -81,33 +81,47 @@
             served=instance.served,
         )
         if not rows:
-            raise StoreError(f"instance {instance.name} is declared already")
+            raise StoreError(f"instance {instance.name} is already declared")
 
     def get(self, name: str) -> Instance | None:
-        """An instance by name; ``None`` if there is none."""
-        rows = self._db.run(f"SELECT {COLUMNS} FROM instances WHERE name = :name", name=name)
+        """Return the instance of that name, or ``None`` if there is none."""
+        rows = self._db.run(f"SELECT {INSTANCE_COLUMNS} FROM instances WHERE name = :name", name=name)
         return Instance(*rows[0]) if rows else None
 
     def instances(self) -> list[Instance]:
-        """All declared instances, by name."""
-        return [Instance(*row) for row in self._db.run(f"SELECT {COLUMNS} FROM instances ORDER BY name")]
+        """Return all declared instances, sorted by name."""
+        return [Instance(*row) for row in self._db.run(f"SELECT {INSTANCE_COLUMNS} FROM instances ORDER BY name")]
 
-    def want(self, name: str, wanted: Wanted, fence: Fence | None = None) -> None:
-        """Set what is wanted of an instance; StoreError if there is none of that name, or the fence is another's."""
-        where, values = fenced(fence)
+    def set_wanted(self, name: str, wanted: WantedState, fence: Fence | None = None) -> None:
+        """Set the wanted state of an instance.
+
+        Raises StoreError if no instance has that name, or if another holder has the lease of ``fence``.
+        """
+        where, values = fence_condition(fence)
         if not self._db.run(
             f"UPDATE instances SET wanted = :wanted WHERE name = :name AND {where} RETURNING name",
             wanted=wanted,
             name=name,
             **values,
         ):
-            raise StoreError(f"no instance is called {name}" if fence is None else f"{fence.lease} is another's now")
+            raise StoreError(
+                f"no instance is called {name}" if fence is None else f"lease {fence.lease} is no longer held"
+            )
 
-    def report(
-        self, name: str, state: State, pid: int, restarts: int, served: float = 1.0, fence: Fence | None = None
+    def report_status(
+        self,
+        name: str,
+        state: InstanceState,
+        pid: int,
+        restarts: int,
+        served: float = 1.0,
+        fence: Fence | None = None,
     ) -> bool:
-        """Write an instance's status; whether it was written: with a ``fence`` only while that lease is held."""
-        where, values = fenced(fence)
+        """Write an instance's status; return True if it was written.
+
+        With a ``fence`` it is written only while the lease is held.
+        """
+        where, values = fence_condition(fence)
         return bool(
             self._db.run(
                 "UPDATE instances SET state = :state, pid = :pid, restarts = :restarts, served = :served "
@@ -122,15 +136,17 @@
         )
 
     def remove(self, name: str, fence: Fence | None = None) -> bool:
-        """Delete an instance; whether it was there, and the fence's lease is held."""
-        where, values = fenced(fence)
+        """Delete an instance; return True if it was there and the lease of ``fence`` is held."""
+        where, values = fence_condition(fence)
         return bool(
             self._db.run(f"DELETE FROM instances WHERE name = :name AND {where} RETURNING name", name=name, **values)
         )
 
-    def record(self, at_ms: float, instance: str, kind: str, detail: str = "", fence: Fence | None = None) -> bool:
-        """Write an event at time of day ``at_ms``; whether it was written: not if the fence's lease is lost."""
-        where, values = fenced(fence)
+    def record_event(
+        self, at_ms: float, instance: str, kind: str, detail: str = "", fence: Fence | None = None
+    ) -> bool:
+        """Write an event at time of day ``at_ms``; return False if the lease of ``fence`` is lost."""
+        where, values = fence_condition(fence)
         return bool(
             self._db.run(
                 "INSERT INTO events (at_ms, instance, kind, detail) SELECT CAST(:at_ms AS DOUBLE PRECISION), "
@@ -144,16 +160,16 @@
             )
         )
 
-    def prune(self, before_ms: float, most: int) -> None:
-        """Delete events from before that time of day, and all but the newest ``most``."""
+    def prune_events(self, before_ms: float, most: int) -> None:
+        """Delete events older than time of day ``before_ms``, and all but the newest ``most`` events."""
         self._db.run(
             "DELETE FROM events WHERE at_ms < :before OR id <= (SELECT MAX(id) FROM events) - :most",
             before=before_ms,
             most=most,
         )
 
-    def events(self, instance: str = "", limit: int = 100) -> list[Event]:
-        """The newest events, of one instance if it is named, oldest first."""
+    def events(self, instance: str = "", limit: int = 100) -> list[InstanceEvent]:
+        """Return the newest ``limit`` events, oldest first, of one instance if ``instance`` is not empty."""
         where = "WHERE instance = :instance " if instance else ""
         named = {"instance": instance} if instance else {}
         rows = self._db.run(
@@ -161,8 +177,8 @@
             most=limit,
             **named,
         )
-        return [Event(*row) for row in reversed(rows)]
+        return [InstanceEvent(*row) for row in reversed(rows)]
 
     def close(self) -> None:
-        """Close the connection. No call may follow."""
+        """Close the connection. No other method may be called afterwards."""
         self._db.close()
--- a/beechslip/store/sqlite.py
+++ b/beechslip/store/sqlite.py
@@ -8,8 +8,8 @@
 from beechslip.store import Store, StoreError
 from beechslip.store.sql import SqlStore
 
-BUSY_S = 5.0
-"""The agent and the command line write to one file: each waits this long for the other."""
+BUSY_TIMEOUT_S = 5.0
+"""Time that a statement waits for another writer; the agent and the command line write to the same file."""
 
 
 class SqliteDatabase:
@@ -18,18 +18,20 @@
     serial = "INTEGER PRIMARY KEY AUTOINCREMENT"
 
     def __init__(self, path: str) -> None:
-        """Open the file, and create it if it is missing; StoreError if that fails."""
+        """Open the file, and create it if it is missing. Raises StoreError if that fails."""
         try:
-            # The agent calls from worker threads, one at a time.
-            self._connection = sqlite3.connect(path, timeout=BUSY_S, isolation_level=None, check_same_thread=False)
-            # Readers and a writer do not wait for one another; committed data survives a power cut.
+            # The agent calls from worker threads, one call at a time.
+            self._connection = sqlite3.connect(
+                path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False
+            )
+            # WAL: readers and a writer do not wait for one another. FULL: committed data survives a power cut.
             self._connection.execute("PRAGMA journal_mode = WAL").fetchall()
             self._connection.execute("PRAGMA synchronous = FULL")
         except sqlite3.Error as error:
             raise StoreError(f"{path}: {error}") from None
 
     def run(self, sql: str, **values: Any) -> list[tuple[Any, ...]]:
-        """Rows of a statement; StoreError if it fails."""
+        """Execute a statement and return its rows. Raises StoreError if it fails."""
         try:
             return self._connection.execute(sql, values).fetchall()
         except sqlite3.Error as error:
@@ -41,5 +43,5 @@
 
 
 def open_sqlite(path: str) -> Store:
-    """The store in the file at ``path``; StoreError if it can't be opened."""
+    """Open the store in the file at ``path``. Raises StoreError if it cannot be opened."""
     return SqlStore(SqliteDatabase(path))
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -20,7 +20,7 @@
 
 import numpy as np
 
-from beechslip.orders.model import Kind
+from beechslip.orders.model import OrderKind
 from bench.text import page
 from lab.agent_fleet import WriteFault
 from lab.agent_judge import Outcome
@@ -31,7 +31,7 @@
 PROXIES = 20
 AGENTS = 5
 REQUESTS_PER_SECOND = 60.0
-KINDS: tuple[Kind, ...] = ("restart", "drain", "retune")
+KINDS: tuple[OrderKind, ...] = ("restart", "drain", "retune")
 INJECTED_FAULT_SEEDS = 1500
 STEP_PREFIX = "step "
 CHUNK_SIZE = 8
@@ -97,7 +97,7 @@
         return asyncio.run(run_case(case, Path(folder) / "run"))
 
 
-def sweep_writes(kind: Kind, fault: WriteFault) -> tuple[int, Counter[str]]:
+def sweep_writes(kind: OrderKind, fault: WriteFault) -> tuple[int, Counter[str]]:
     """Every write of a start and an order failing in turn: plays, and how orders and steps ended."""
     writes = sweep(kind).writes
     ended: Counter[str] = Counter()
--- a/lab/agent_checker.py
+++ b/lab/agent_checker.py
@@ -15,8 +15,8 @@
 from beechslip.clock import ManualClock
 from beechslip.orders.model import Order
 from beechslip.orders.order_store import OrderStore
-from beechslip.orders.step_run import UNSEEN
-from beechslip.store import Rows
+from beechslip.orders.step_run import EXIT_NOT_OBSERVED
+from beechslip.store import SqlConnection
 from lab.check import Violation
 from lab.simulated_proxies import SimulatedProxy
 
@@ -31,7 +31,7 @@
     """
 
     clock: ManualClock
-    database: Rows
+    database: SqlConnection
     orders: OrderStore
     processes: list[SimulatedProxy]
     taken_ms: dict[tuple[int, str], float]
@@ -94,7 +94,7 @@
     def check_orders(self) -> None:
         """After each tick: the limits of orders, and the reports of those that have ended."""
         for order in self.fleet.orders.newest(CHECKED_ORDERS):
-            in_progress = sum(step.in_progress for step in order.steps)
+            in_progress = sum(step.is_in_progress for step in order.steps)
             if in_progress > order.at_most:
                 self._violation("over-bound", f"{order}: {in_progress} out, {order.at_most} allowed")
             if order.state == "done" and order.id not in self.ended:
@@ -118,7 +118,7 @@
         recent = [process for process in processes if process.alive or process.ended_ms >= since_ms]
         failed = [process for process in recent if process.returncode not in (None, 0)]
         if state == "done":
-            untrue = self._done_is_untrue(order, since_ms, recent, failed, UNSEEN in detail)
+            untrue = self._done_is_untrue(order, since_ms, recent, failed, EXIT_NOT_OBSERVED in detail)
         elif state == "died":
             last_failed = bool(processes and processes[-1].returncode)
             untrue = not failed and order.kind != "inspect" and not last_failed
--- a/lab/agent_fleet.py
+++ b/lab/agent_fleet.py
@@ -21,10 +21,10 @@
 from beechslip.clock import ManualClock
 from beechslip.leases.paxos import LeaseTuning
 from beechslip.leases.stored import StoredLeases
-from beechslip.orders.model import FINAL_STEP_STATES, Kind, Order
+from beechslip.orders.model import FINAL_STEP_STATES, Order, OrderKind
 from beechslip.orders.order_store import OrderLimits, OrderStore
 from beechslip.orders.runner import StepTimeouts
-from beechslip.store import Instance, Rows, StoreError
+from beechslip.store import Instance, SqlConnection, StoreError
 from beechslip.store.sql import SqlStore
 from beechslip.store.sqlite import SqliteDatabase
 from lab.agent_checker import AgentChecker
@@ -65,7 +65,7 @@
 class FaultyConnection:
     """One agent's connection to the store: unreachable or full for a while, or failing at one numbered write."""
 
-    def __init__(self, fleet: AgentFleet, inner: Rows, holder: str) -> None:
+    def __init__(self, fleet: AgentFleet, inner: SqlConnection, holder: str) -> None:
         """``holder``: the agent with its incarnation, as it stands in leases."""
         self.fleet = fleet
         self.holder = holder
@@ -193,7 +193,7 @@
         """One seed, one run. Must be called in an event loop."""
         self.rng = random.Random(seed)
         self.clock = ManualClock()
-        self.database: Rows = (database := SqliteDatabase(":memory:"))
+        self.database: SqlConnection = (database := SqliteDatabase(":memory:"))
         self.store = SqlStore(database)
         self.orders = OrderStore(database)
         StoredLeases("-", 0, database, self.clock.steady_ms).prepare_table()
@@ -279,7 +279,7 @@
                 return True
         return False
 
-    def create_order(self, kind: Kind, names: Iterable[str] = (), at_most: int = 2) -> int:
+    def create_order(self, kind: OrderKind, names: Iterable[str] = (), at_most: int = 2) -> int:
         """An order over the named instances, or over all; its number."""
         names = set(names)
         chosen = [i for i in self.store.instances() if not names or i.name in names]
--- a/lab/agent_judge.py
+++ b/lab/agent_judge.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from beechslip.orders.model import Order, Step
-from beechslip.orders.step_run import UNSEEN
+from beechslip.orders.step_run import EXIT_NOT_OBSERVED
 
 LIFECYCLE_LINE = re.compile(r"(\S+) beechslip (\S+), process (\d+), (listens|has answered)")
 SIGTERM_LINE = re.compile(r"(\S+) beechslip (\S+), process (\d+), (is shutting down)")
@@ -142,7 +142,7 @@
         """An instance that is said to be drained does not answer, and its last process has ended in order."""
         if self._answering[step.instance]:
             self._violation(f"report-untrue: {order}: {step.instance} is done and answers")
-        unseen = UNSEEN in step.detail or NOT_RUNNING in step.detail
+        unseen = EXIT_NOT_OBSERVED in step.detail or NOT_RUNNING in step.detail
         # The process that the step ended may never have served: then the last that did is an earlier one.
         never_served = ENDED_BEFORE_SERVING in step.detail and bool(named) and named[-1] not in pids
         if pids and pids[-1] not in self._ended_in_order and not unseen and not never_served:
--- a/lab/agent_world.py
+++ b/lab/agent_world.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from beechslip.orders.model import Kind, Order
+from beechslip.orders.model import Order, OrderKind
 from beechslip.orders.order_store import OrderLimits, OrderStore
 from beechslip.store import Instance, Store, StoreError, open_store
 from lab.agent_judge import LISTENS, SIGTERM_LINE, Judge, Outcome, read_lines
@@ -71,12 +71,12 @@
     """
 
     name: str
-    kind: Kind = "drain"
+    kind: OrderKind = "drain"
     size: int = 8
     agents: int = 3
     at_most: int = 2
     faults: tuple[Fault, ...] = ()
-    second: Kind | None = None
+    second: OrderKind | None = None
     seed: int = 1
     postgres: bool = False
     rps: float = 40.0
@@ -130,7 +130,7 @@
         log_port = server.sockets[0].getsockname()[1]
         self.store: Store = await asyncio.to_thread(open_store, self.url)
         self._stack.callback(self.store.close)
-        self.orders = OrderStore(self.store.rows)
+        self.orders = OrderStore(self.store.connection)
         self.ports.update((f"n{number}", free_port()) for number in range(self.case.size))
         for number, name in enumerate(self.ports):
             self._declare(number, name, log_port)
@@ -235,7 +235,7 @@
             await self._stop_agent(target, fault.duration_s)
 
     def _orders_leader(self) -> str:
-        rows = self.store.rows.run("SELECT holder FROM leases WHERE name = :name", name="orders")
+        rows = self.store.connection.run("SELECT holder FROM leases WHERE name = :name", name="orders")
         return str(rows[0][0]).partition("/")[0] if rows else "a0"
 
     async def _kill_agent(self, name: str, restart_s: float) -> None:
--- a/lab/order_faults.py
+++ b/lab/order_faults.py
@@ -17,11 +17,11 @@
 from lab.injected_faults import register_replacement
 
 
-def _unfenced(fenced: Callable[..., Any]) -> Callable[..., Any]:
+def _unfenced(fence_condition: Callable[..., Any]) -> Callable[..., Any]:
     """Any write goes through, whoever holds the lease; its name stays in the values, for the checker."""
 
     def clause(fence: Fence | None) -> tuple[str, dict[str, Any]]:
-        where, values = fenced(fence)
+        where, values = fence_condition(fence)
         return f"({where} OR 1 = 1)", values
 
     return clause
@@ -61,7 +61,7 @@
 
     def drain_unseen(self: StepRun, view: InstanceView) -> Any:
         self._foreign_process_seen = False
-        return drain(self, replace(view, address_free=True))
+        return drain(self, replace(view, has_free_address=True))
 
     return drain_unseen
 
@@ -99,14 +99,19 @@
 
 
 register_replacement(
-    "store-unfenced", "orders", "the store takes any write, whoever holds the lease", sql, "fenced", _unfenced
+    "store-unfenced",
+    "orders",
+    "the store takes any write, whoever holds the lease",
+    sql,
+    "fence_condition",
+    _unfenced,
 )
 register_replacement(
     "orders-unfenced",
     "orders",
     "the order rows take any write, whoever holds the lease",
     order_store,
-    "fenced",
+    "fence_condition",
     _unfenced,
 )
 register_replacement(
@@ -114,7 +119,7 @@
     "orders",
     "an agent acts on a step though recording it has failed",
     OrderStore,
-    "take",
+    "take_step",
     _acts_unrecorded,
 )
 register_replacement(
@@ -122,18 +127,23 @@
     "orders",
     "an agent starts a proxy though recording it has failed",
     SqlStore,
-    "report",
+    "report_status",
     _starts_unrecorded,
 )
 register_replacement(
-    "any-end-is-drained", "orders", "every exit of a proxy counts as an orderly one", ProcessExit, "orderly", _any_end
+    "any-end-is-drained",
+    "orders",
+    "every exit of a proxy counts as an orderly one",
+    ProcessExit,
+    "is_orderly",
+    _any_end,
 )
 register_replacement(
     "not-mine-not-running",
     "orders",
     "an agent without a process of an instance takes it for stopped",
     StepRun,
-    "_drain",
+    "_drain_action",
     _no_look,
 )
 register_replacement(
@@ -141,7 +151,7 @@
     "orders",
     "the runner withdraws steps that an agent has taken since it read them",
     OrderStore,
-    "set_step",
+    "set_step_state",
     _withdraws,
 )
 register_replacement(
--- a/lab/virtual_agents.py
+++ b/lab/virtual_agents.py
@@ -12,13 +12,13 @@
 from typing import NamedTuple
 
 from beechslip.agent.supervisor import DRAIN_TIMEOUT_MS
-from beechslip.orders.model import Kind, Order
+from beechslip.orders.model import Order, OrderKind
 from lab import order_faults  # noqa: F401 (registers the faults that play() can inject)
 from lab.agent_fleet import AgentFleet, WriteFault
 from lab.injected_faults import inject
 
 SIZE = 6
-KINDS: tuple[Kind, ...] = ("drain", "restart", "retune", "inspect", "restart")
+KINDS: tuple[OrderKind, ...] = ("drain", "restart", "retune", "inspect", "restart")
 FREEZE_PROBABILITIES = (0.0, 0.002, 0.01)
 FAULTS = ("kill", "boot", "freeze", "away", "full", "proxy", "write")
 WRITE_FAULTS = (WriteFault.FULL, WriteFault.IO, WriteFault.LOST)
@@ -40,7 +40,7 @@
     violations: tuple[str, ...]
 
 
-def sweep(kind: Kind, write: int = 0, fault: WriteFault | None = None) -> SweepResult:
+def sweep(kind: OrderKind, write: int = 0, fault: WriteFault | None = None) -> SweepResult:
     """A start of four instances under two agents and an order over all of them.
 
     The fleet's write number ``write`` fails as ``fault`` says; 0: none does.
@@ -48,7 +48,7 @@
     return asyncio.run(_sweep(kind, write, fault))
 
 
-async def _sweep(kind: Kind, write: int, fault: WriteFault | None) -> SweepResult:
+async def _sweep(kind: OrderKind, write: int, fault: WriteFault | None) -> SweepResult:
     fleet = AgentFleet(0, size=4, agents=2)
     if write and fault is not None:
         fleet.write_faults[write] = fault
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 
 from beechslip.store import Store, open_store
 from tests.known_red import KnownFailure, read, without_group
-from tests.pg_stand import PgStand
+from tests.pg_stand import FakePostgresServer
 
 
 def mark_known_failures(items: list[pytest.Item], known: Mapping[str, KnownFailure]) -> None:
@@ -30,7 +30,7 @@
     if request.param == "sqlite":
         yield f"sqlite:///{tmp_path}/store.db"
         return
-    server = PgStand()
+    server = FakePostgresServer()
     yield server.url()
     server.close()
 
--- a/tests/pg_stand.py
+++ b/tests/pg_stand.py
@@ -1,7 +1,7 @@
-"""A stand-in for a PostgreSQL server: version 3 of its protocol, by the published message formats.
+"""A fake PostgreSQL server for tests, with version 3 of the protocol by its published message formats.
 
-Statements run on SQLite, which understands the store's SQL once numbered parameters and the serial type are
-replaced. It serves the simple and the extended query flow, and requires a password.
+It executes statements with SQLite, which accepts the store's SQL after the numbered parameters and the serial type
+are replaced. It supports the simple and the extended query flow, and requires a password.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 def columns(sql: str) -> list[str]:
-    """The columns that a statement gives, as its text names them."""
+    """Return the names of the columns that a statement returns, read from its text."""
     found = re.match(r"SELECT (.*?) FROM", sql, re.S) or re.search(r"RETURNING (.*)\Z", sql, re.S)
     return [name.strip() for name in found.group(1).split(",")] if found else []
 
@@ -65,20 +65,20 @@
 
 
 def decoded(word: str, oid: int) -> int | float | str:
-    """A parameter in text form, by its declared type."""
+    """Return the value of a parameter in text form, converted by its declared type ``oid``."""
     if oid in INTEGER_TYPES:
         return int(word)
     return float(word) if oid == FLOAT8 else word
 
 
 class Session(socketserver.StreamRequestHandler):
-    """One client's connection."""
+    """The connection of one client."""
 
-    server: PgStand
+    server: FakePostgresServer
     disable_nagle_algorithm = True
 
     def read(self, size: int) -> bytes:
-        """So many bytes; EOFError if the client is gone."""
+        """Read ``size`` bytes. Raises EOFError if the client has disconnected."""
         data = self.rfile.read(size)
         if len(data) < size:
             raise EOFError
@@ -96,7 +96,7 @@
             return
 
     def authenticate(self) -> None:
-        """The startup and the password exchange; EOFError if the password is wrong."""
+        """Handle the startup and the password exchange. Raises EOFError if the password is wrong."""
         while True:
             size, kind = struct.unpack(">ii", self.read(8))
             body = self.read(size - 8)
@@ -123,7 +123,7 @@
         return message(b"E", b"S" + text("ERROR") + b"C" + text(code) + b"M" + text(why) + b"\0")
 
     def answer(self, code: bytes, body: bytes) -> bytes:
-        """The messages that answer one of the client's."""
+        """Return the messages that answer a message of the client."""
         if code == b"S":
             return message(b"Z", b"I")
         if code == b"H":
@@ -147,12 +147,12 @@
         return self.execute()
 
     def bound_values(self, body: bytes) -> list[Any]:
-        """The parameters of a Bind message."""
+        """Return the parameter values of a Bind message."""
         rest = body.split(b"\0", 2)[2]
         formats = struct.unpack(">h", rest[:2])[0]
         at, values = 4 + 2 * formats, list[Any]()
         count = struct.unpack(">h", rest[2 + 2 * formats : at])[0]
-        for oid in self.oids or (0,) * count:  # undeclared types are taken from the columns, as a server does
+        for oid in self.oids or (0,) * count:  # an undeclared type is taken from the column, as on a real server
             size = struct.unpack(">i", rest[at : at + 4])[0]
             word = rest[at + 4 : at + 4 + max(size, 0)].decode()
             at += 4 + max(size, 0)
@@ -160,7 +160,7 @@
         return values
 
     def execute(self) -> bytes:
-        """Run the current statement; its rows as messages, or the error."""
+        """Execute the current statement; return its rows, or its error, as messages."""
         sql = re.sub(r"\$(\d+)", r"?\1", self.sql).replace(
             "BIGSERIAL PRIMARY KEY", "INTEGER PRIMARY KEY AUTOINCREMENT"
         )
@@ -178,8 +178,8 @@
         return out + message(b"C", text(f"{self.sql.split()[0]} {len(rows)}"))
 
 
-class PgStand(socketserver.ThreadingTCPServer):
-    """The server, on a free local port; ``close`` ends it."""
+class FakePostgresServer(socketserver.ThreadingTCPServer):
+    """A fake PostgreSQL server on a free local port; :meth:`close` ends it."""
 
     daemon_threads = True
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent's reconciliation passes, with simulated processes and a clock that tests set."""
+"""Tests of the agent's reconciliation passes, with simulated processes and a clock that the tests advance."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SimulatedProcess:
-    """A process that ends when the test says."""
+    """A process that exits when the test calls :meth:`end`."""
 
     def __init__(self, pid: int, obeys_sigterm: bool) -> None:
         self.pid, self.returncode, self.obeys_sigterm = pid, None, obeys_sigterm
@@ -54,14 +54,14 @@
 
 
 class SimulatedLauncher:
-    """Starts simulated processes."""
+    """Starts simulated processes; its flags decide whether starts succeed and processes are healthy."""
 
     def __init__(self) -> None:
         self.started: list[SimulatedProcess] = []
-        self.obeys_sigterm = self.healthy = self.startable = True
+        self.obeys_sigterm = self.healthy = self.can_start = True
 
     async def start(self, instance: Instance) -> SimulatedProcess:
-        if not self.startable:
+        if not self.can_start:
             raise OSError("no such program")
         self.started.append(SimulatedProcess(100 + len(self.started), self.obeys_sigterm))
         return self.started[-1]
@@ -76,18 +76,20 @@
         return None
 
 
-class AgentStand:
+class AgentFixture:
+    """An agent with one declared instance ``n1``, a simulated launcher and a manual clock."""
+
     def __init__(self, store: Store) -> None:
         self.store, self.clock, self.launcher = store, ManualClock(), SimulatedLauncher()
         self.agent = Agent(StoreAccess(store, self.clock), self.launcher, self.clock)
         store.add(Instance("n1", "n1.json"))
 
-    async def passes(self, count: int = 1, ms: float = 0.0) -> None:
+    async def run_passes(self, count: int = 1, ms: float = 0.0) -> None:
         for _ in range(count):
             self.clock.advance(ms)
             await self.agent.reconcile()
 
-    def status(self) -> tuple[str, int, int] | None:
+    def stored_status(self) -> tuple[str, int, int] | None:
         found = self.store.get("n1")
         return (found.state, found.pid, found.restarts) if found else None
 
@@ -96,110 +98,110 @@
 
 
 @asynccontextmanager
-async def agent_stand(folder: Path) -> AsyncIterator[AgentStand]:
+async def agent_fixture(folder: Path) -> AsyncIterator[AgentFixture]:
     store = open_store(f"sqlite:///{folder}/store.db")
     try:
-        yield AgentStand(store)
+        yield AgentFixture(store)
     finally:
         store.close()
 
 
 @run
 async def test_a_declared_instance_is_started_and_becomes_healthy(tmp_path: Path) -> None:
-    async with agent_stand(tmp_path) as s:
-        await s.passes()
-        assert s.status() == ("starting", 100, 0)
-        await s.passes(3)
-        assert s.status() == ("healthy", 100, 0) and s.event_kinds() == ["started", "healthy"]
+    async with agent_fixture(tmp_path) as s:
+        await s.run_passes()
+        assert s.stored_status() == ("starting", 100, 0)
+        await s.run_passes(3)
+        assert s.stored_status() == ("healthy", 100, 0) and s.event_kinds() == ["started", "healthy"]
 
 
 @run
 async def test_a_process_that_exits_is_restarted_after_a_backoff_that_doubles(tmp_path: Path) -> None:
-    async with agent_stand(tmp_path) as s:
-        await s.passes()
+    async with agent_fixture(tmp_path) as s:
+        await s.run_passes()
         for restarts, pause in ((1, FIRST_BACKOFF_MS), (2, 2 * FIRST_BACKOFF_MS)):
             s.launcher.started[-1].end(1)
-            await s.passes()
-            assert s.status() == ("waiting", 0, restarts - 1)
-            await s.passes(1, pause - 1)
+            await s.run_passes()
+            assert s.stored_status() == ("waiting", 0, restarts - 1)
+            await s.run_passes(1, pause - 1)
             assert len(s.launcher.started) == restarts
-            await s.passes(1, 1)
-            assert s.status() == ("starting", 100 + restarts, restarts)
-        await s.passes(1, STABLE_MS)  # what has run long starts over with the first pause
+            await s.run_passes(1, 1)
+            assert s.stored_status() == ("starting", 100 + restarts, restarts)
+        await s.run_passes(1, STABLE_MS)  # after a long run the backoff starts from its first value again
         s.launcher.started[-1].end(1)
-        await s.passes()
-        await s.passes(1, FIRST_BACKOFF_MS)
+        await s.run_passes()
+        await s.run_passes(1, FIRST_BACKOFF_MS)
         assert len(s.launcher.started) == 4
 
 
 @run
 async def test_a_failed_start_is_retried(tmp_path: Path) -> None:
-    async with agent_stand(tmp_path) as s:
-        s.launcher.startable = False
-        await s.passes()
-        assert s.status() == ("waiting", 0, 0) and s.event_kinds() == ["not started"]
-        s.launcher.startable = True
-        await s.passes(1, FIRST_BACKOFF_MS)
+    async with agent_fixture(tmp_path) as s:
+        s.launcher.can_start = False
+        await s.run_passes()
+        assert s.stored_status() == ("waiting", 0, 0) and s.event_kinds() == ["not started"]
+        s.launcher.can_start = True
+        await s.run_passes(1, FIRST_BACKOFF_MS)
         assert len(s.launcher.started) == 1
 
 
 @run
 async def test_a_process_that_fails_its_health_checks_is_killed_and_restarted(tmp_path: Path) -> None:
-    async with agent_stand(tmp_path) as s:
+    async with agent_fixture(tmp_path) as s:
         s.launcher.healthy = False
-        await s.passes(10)
-        assert s.status() == ("starting", 100, 0)  # it has time to come up
+        await s.run_passes(10)
+        assert s.stored_status() == ("starting", 100, 0)  # failed checks do not count while it starts
         s.launcher.healthy = True
-        await s.passes()
+        await s.run_passes()
         s.launcher.healthy = False
-        await s.passes(MAX_FAILED_HEALTH_CHECKS - 1)
-        assert s.status() == ("unhealthy", 100, 0)
-        await s.passes()
+        await s.run_passes(MAX_FAILED_HEALTH_CHECKS - 1)
+        assert s.stored_status() == ("unhealthy", 100, 0)
+        await s.run_passes()
         assert s.launcher.started[0].signals == ["KILL"]
-        await s.passes(2, FIRST_BACKOFF_MS)
+        await s.run_passes(2, FIRST_BACKOFF_MS)
         assert len(s.launcher.started) == 2 and s.event_kinds()[-3:] == ["unhealthy", "exited", "restarted"]
 
 
 @run
 async def test_a_drained_instance_gets_sigterm_and_is_not_restarted(tmp_path: Path) -> None:
-    async with agent_stand(tmp_path) as s:
-        await s.passes()
-        s.store.want("n1", "drained")
-        await s.passes(4, MAX_BACKOFF_MS)
+    async with agent_fixture(tmp_path) as s:
+        await s.run_passes()
+        s.store.set_wanted("n1", "drained")
+        await s.run_passes(4, MAX_BACKOFF_MS)
         assert s.launcher.started[0].signals == ["TERM"] and len(s.launcher.started) == 1
-        assert s.status() == ("drained", 0, 0) and s.event_kinds()[-2:] == ["draining", "drained"]
+        assert s.stored_status() == ("drained", 0, 0) and s.event_kinds()[-2:] == ["draining", "drained"]
 
 
 @run
 async def test_a_process_that_does_not_drain_in_time_is_killed(tmp_path: Path) -> None:
-    async with agent_stand(tmp_path) as s:
+    async with agent_fixture(tmp_path) as s:
         s.launcher.obeys_sigterm = False
-        await s.passes()
-        s.store.want("n1", "drained")
-        await s.passes()
-        await s.passes(1, DRAIN_TIMEOUT_MS - 1)
+        await s.run_passes()
+        s.store.set_wanted("n1", "drained")
+        await s.run_passes()
+        await s.run_passes(1, DRAIN_TIMEOUT_MS - 1)
         assert s.launcher.started[0].signals == ["TERM"]
-        await s.passes(2, 1)
-        assert s.launcher.started[0].signals == ["TERM", "KILL"] and s.status() == ("drained", 0, 0)
+        await s.run_passes(2, 1)
+        assert s.launcher.started[0].signals == ["TERM", "KILL"] and s.stored_status() == ("drained", 0, 0)
 
 
 @run
-@pytest.mark.parametrize("by", ["the command line", "other hands"])
+@pytest.mark.parametrize("by", ["the command line", "another program"])
 async def test_a_removed_instance_is_drained_and_deleted(tmp_path: Path, by: str) -> None:
-    async with agent_stand(tmp_path) as s:
-        await s.passes()
+    async with agent_fixture(tmp_path) as s:
+        await s.run_passes()
         if by == "the command line":
-            s.store.want("n1", "removed")
+            s.store.set_wanted("n1", "removed")
         else:
             s.store.remove("n1")
-        await s.passes(2)
-        assert s.launcher.started[0].signals == ["TERM"] and s.status() is None and not s.agent.instances
+        await s.run_passes(2)
+        assert s.launcher.started[0].signals == ["TERM"] and s.stored_status() is None and not s.agent.instances
         assert s.event_kinds()[-1] == "removed"
 
 
 @run
 async def test_a_stopped_agent_drains_all_its_processes(tmp_path: Path) -> None:
-    async with agent_stand(tmp_path) as s:
+    async with agent_fixture(tmp_path) as s:
         s.store.add(Instance("n2", "n2.json"))
         task = asyncio.create_task(s.agent.run())
         await until(lambda: len(s.launcher.started) == 2)
@@ -212,24 +214,25 @@
 
 
 @run
-async def test_nothing_is_started_or_drained_while_the_store_is_locked(
+async def test_no_process_is_started_or_drained_while_the_store_is_locked(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(sqlite, "BUSY_S", 0.05)
-    async with agent_stand(tmp_path) as s:
-        await s.passes()
+    monkeypatch.setattr(sqlite, "BUSY_TIMEOUT_S", 0.05)
+    async with agent_fixture(tmp_path) as s:
+        await s.run_passes()
         s.store.add(Instance("n2", "n2.json"))
-        s.store.want("n1", "drained")
+        s.store.set_wanted("n1", "drained")
         other = sqlite3.connect(tmp_path / "store.db", isolation_level=None)
         other.execute("BEGIN IMMEDIATE")
-        await s.passes(3)
-        assert len(s.launcher.started) == 1 and s.launcher.started[0].signals == []  # nothing that can't be recorded
+        await s.run_passes(3)
+        # No action is done that cannot be recorded.
+        assert len(s.launcher.started) == 1 and s.launcher.started[0].signals == []
         other.execute("ROLLBACK")
         other.close()
-        await s.passes(3)
+        await s.run_passes(3)
         assert len(s.launcher.started) == 2 and s.launcher.started[0].signals == ["TERM"]
 
 
-def test_a_path_that_can_not_be_written_is_a_store_error() -> None:
+def test_opening_a_store_at_an_unwritable_path_raises_a_store_error() -> None:
     with pytest.raises(StoreError):
-        open_store("sqlite:////sys/store.db")  # a file system without files of ours
+        open_store("sqlite:////sys/store.db")  # a file system on which no file can be created
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -1,4 +1,4 @@
-"""Orders over real agents and proxies, with faults between them; the judge of those runs."""
+"""Tests of orders with real agents and proxies under faults, and of the judge of those runs."""
 
 from __future__ import annotations
 
@@ -10,16 +10,20 @@
 from beechslip.orders.model import Order, Step
 from lab.agent_judge import Outcome
 from lab.agent_world import CASES, AgentWorld, Case, run_case
-from tests.pg_stand import PgStand
+from tests.pg_stand import FakePostgresServer
 
-AT_ONCE = 2  # cases side by side, each in an xdist group; each has several agents and proxies
+PARALLEL_CASES = 2  # cases that run in parallel, each in an xdist group; a case runs several agents and proxies
 MAX_RUNS = 3
 
 
-async def play(case: Case, folder: Path) -> Outcome:
-    """Untrue reports stand. An order that has not ended in four times its time is played again, twice."""
+async def run_until_ended(case: Case, folder: Path) -> Outcome:
+    """Run a case, and repeat it up to twice if its only violations are orders that have not ended.
+
+    An order counts as not ended after four times its usual time. A run with any other violation, such as an untrue
+    report, is not repeated.
+    """
     for number in range(MAX_RUNS):
-        server = PgStand() if case.postgres else None
+        server = FakePostgresServer() if case.postgres else None
         outcome = await run_case(case, folder / f"{case.name}-{number}", server.url() if server else "")
         if server:
             server.close()
@@ -31,24 +35,24 @@
 @pytest.mark.parametrize(
     "case",
     [
-        pytest.param(case, id=case.name, marks=pytest.mark.xdist_group(f"orders-{number % AT_ONCE}"))
+        pytest.param(case, id=case.name, marks=pytest.mark.xdist_group(f"orders-{number % PARALLEL_CASES}"))
         for number, case in enumerate(CASES)
     ],
 )
 def test_the_report_of_an_order_over_real_proxies_is_true(case: Case, tmp_path: Path) -> None:
-    outcome = asyncio.run(play(case, tmp_path))
+    outcome = asyncio.run(run_until_ended(case, tmp_path))
     assert outcome.violations == []
     ended = {s.state for o in outcome.orders if o.state == "done" for s in o.steps}
     match case.name:
         case "half-killed-in-a-drain" | "ignores-sigterm":
-            assert "died" in ended  # a killed proxy is named
+            assert "died" in ended  # the report names a killed proxy
         case "two-operators":
             assert len(outcome.rejected) == 1 and "order 1 (restart by ann) runs" in outcome.rejected[0]
         case _:
             assert ended == {"done"}
 
 
-def test_the_judge_of_real_runs_finds_an_untrue_report(tmp_path: Path) -> None:
+def test_the_judge_finds_untrue_reports(tmp_path: Path) -> None:
     world = AgentWorld(CASES[0], tmp_path)
     world.folder.mkdir(exist_ok=True)
     (tmp_path / "a0.log").write_text(
@@ -69,9 +73,9 @@
         Order(1, "drain", "op", state="done", steps=(Step(1, name, "", "drain", state, "", detail),))  # type: ignore[arg-type]
         for name, state, detail in steps
     ]
-    found = []
+    has_violations = []
     for one in orders:
         outcome = Outcome([one])
         world.judge(outcome, {"n0": False, "n1": False, "n2": True, "n3": False})
-        found.append(bool(outcome.violations))
-    assert found == [False, True, True, True, True, True]
+        has_violations.append(bool(outcome.violations))
+    assert has_violations == [False, True, True, True, True, True]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -289,7 +289,7 @@
         os.kill(pid, signal.SIGKILL)
         assert await reach("healthy", 1) != pid
         assert (await fetch(one.port))[2] == b"waves"
-        store.want("n3", "drained")
+        store.set_wanted("n3", "drained")
         await reach("drained", 1)
         assert (await one.end())[0] == 0
         assert [event.kind for event in store.events("n3")] == [
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,4 @@
-"""The log of sent requests: what may be sent again after a restart, by whom, and what a failing store means."""
+"""Tests of the sent-request log: requests that are sent again after a restart, and requests while the store fails."""
 
 from __future__ import annotations
 
@@ -42,16 +42,19 @@
     run,
 )
 from lab.stand import until as reached
-from tests.pg_stand import PgStand
+from tests.pg_stand import FakePostgresServer
 
-FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Declined: 1\r\nContent-Length: 0\r\n\r\n"
-WINDOW_S = 1.5
-MAX_CLIENT_TRIES = 10  # 0.7 s apart: on a busy machine a start takes seconds, and few requests are met before it
+BACKEND_FULL_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Declined: 1\r\nContent-Length: 0\r\n\r\n"
+REPEAT_WINDOW_S = 1.5
+MAX_CLIENT_TRIES = 10
+"""Tries are 0.7 s apart. On a busy machine a start takes seconds; with fewer tries few requests would be served."""
 
 
 @asynccontextmanager
-async def stage(url: str, *script: bytes, **config: Any) -> AsyncIterator[tuple[Stand, StoredSentRequestLog]]:
-    """A proxy whose backends answer by ``script``, with a log of sent requests."""
+async def proxy_with_sent_log(
+    url: str, *script: bytes, **config: Any
+) -> AsyncIterator[tuple[Stand, StoredSentRequestLog]]:
+    """A proxy with a sent-request log in the store at ``url``, whose backends respond by ``script``."""
     backends = (
         StandBackend("a", *script),
         StandBackend("hub", *script, kind="parent", zone="north"),
@@ -66,52 +69,52 @@
         sent_log.close()
 
 
-def submit(stand: Stand, token: str = "5c") -> Any:
+def submit_keyed_request(stand: Stand, token: str = "5c") -> Any:
     return stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", wait_ms=1500, Req_Token=token)
 
 
-def sends(stand: Stand) -> int:
+def count_sends(stand: Stand) -> int:
     return sum(len(d.seen) for d in stand.backends)
 
 
 @run
-async def test_a_request_of_an_earlier_incarnation_may_go_out_again_only_within_its_window(url: str) -> None:
-    async with stage(url, OK) as (stand, sent_log):
-        assert (await submit(stand))[0] == 200 and sends(stand) == 1
+async def test_a_logged_request_is_sent_again_only_within_its_repeat_window(url: str) -> None:
+    async with proxy_with_sent_log(url, OK) as (stand, sent_log):
+        assert (await submit_keyed_request(stand))[0] == 200 and count_sends(stand) == 1
         stand.clock.advance(5_000)
-        assert (await submit(stand))[0] == 200 and sends(stand) == 2  # its window is 6 s
+        assert (await submit_keyed_request(stand))[0] == 200 and count_sends(stand) == 2  # its repeat window is 6 s
         stand.clock.advance(1_500)
-        status, _, _ = await submit(stand)
-        assert status == 502 and sends(stand) == 2 and stand.counters["sent_before"] == 1
-        assert (await submit(stand, "6d"))[0] == 200
-        sent_log._boot = "another"  # the machine has started again: nobody knows how long ago it was
-        assert (await submit(stand, "6d"))[0] == 502 and sends(stand) == 3
-        assert (await stand.ask())[0] == 200  # what has no key is not on record
+        status, _, _ = await submit_keyed_request(stand)
+        assert status == 502 and count_sends(stand) == 2 and stand.counters["sent_before"] == 1
+        assert (await submit_keyed_request(stand, "6d"))[0] == 200
+        sent_log._boot_id = "another"  # after a reboot the elapsed time is unknown
+        assert (await submit_keyed_request(stand, "6d"))[0] == 502 and count_sends(stand) == 3
+        assert (await stand.ask())[0] == 200  # requests without a key are not logged
 
 
 @run
-async def test_a_request_goes_out_again_only_to_backends_that_all_discard_repeats(url: str) -> None:
-    async with stage(url, OK) as (stand, _):
+async def test_a_logged_request_is_sent_again_only_if_all_backends_discard_repeats(url: str) -> None:
+    async with proxy_with_sent_log(url, OK) as (stand, _):
         rule = stand.engine.settings.classes["pick-submit"]
         stand.engine.settings.classes["pick-submit"] = replace(rule, group="zone")
-        assert (await submit(stand))[0] == 200
-        assert (await submit(stand))[0] == 502 and sends(stand) == 1
+        assert (await submit_keyed_request(stand))[0] == 200
+        assert (await submit_keyed_request(stand))[0] == 502 and count_sends(stand) == 1
 
 
 @run
-async def test_a_request_that_can_not_have_run_is_deleted_from_the_log(url: str) -> None:
-    async with stage(url, FULL) as (stand, sent_log):
-        assert (await submit(stand))[0] in (503, 429, 504)
+async def test_a_request_that_no_backend_executed_is_deleted_from_the_log(url: str) -> None:
+    async with proxy_with_sent_log(url, BACKEND_FULL_RESPONSE) as (stand, sent_log):
+        assert (await submit_keyed_request(stand))[0] in (503, 429, 504)
 
         def rows() -> int:
-            return len(sent_log._rows().run("SELECT op_key FROM sent"))
+            return len(sent_log._connect().run("SELECT op_key FROM sent"))
 
         await asyncio.sleep(0.05)
         await reached(lambda: rows() == 0)
 
 
-class Failing:
-    """A store that is away, or takes its time."""
+class FailingStore:
+    """A store of which every statement fails after ``sleep_s`` seconds."""
 
     serial = ""
 
@@ -119,7 +122,7 @@
         self.sleep_s = sleep_s
 
     @property
-    def rows(self) -> Any:
+    def connection(self) -> Any:
         return self
 
     def run(self, sql: str, **values: Any) -> Any:
@@ -132,18 +135,18 @@
 
 @pytest.mark.parametrize("sleep_s", [0.0, 0.4])
 @run
-async def test_a_keyed_request_that_can_not_be_logged_is_rejected_and_others_are_served(sleep_s: float) -> None:
-    async with stage("sqlite:///x", OK, wait_ms=30.0) as (stand, sent_log):
-        sent_log._open = lambda url: Failing(sleep_s)  # type: ignore[assignment,return-value]
-        asked = submit(stand)
+async def test_keyed_requests_are_rejected_and_others_served_while_the_log_fails(sleep_s: float) -> None:
+    async with proxy_with_sent_log("sqlite:///x", OK, wait_ms=30.0) as (stand, sent_log):
+        sent_log._open_store = lambda url: FailingStore(sleep_s)  # type: ignore[assignment,return-value]
+        keyed_request = submit_keyed_request(stand)
         for _ in range(20):
-            assert (await stand.ask())[0] == 200  # nothing waits for a disk
-        seen = sum(len([s for s in d.seen if s[0].startswith("PUT")]) for d in stand.backends)
-        assert seen == 0
+            assert (await stand.ask())[0] == 200  # requests without a key do not wait for the store
+        put_requests_seen = sum(len([s for s in d.seen if s[0].startswith("PUT")]) for d in stand.backends)
+        assert put_requests_seen == 0
         for _ in range(40):
             stand.clock.advance(100)
             await asyncio.sleep(0.005)
-        assert (await asked)[0] in (503, 429, 504) and stand.counters["record.failed"] >= 1
+        assert (await keyed_request)[0] in (503, 429, 504) and stand.counters["record.failed"] >= 1
         assert sum(len([s for s in d.seen if s[0].startswith("PUT")]) for d in stand.backends) == 0
         sent_log._pending = MAX_PENDING
         assert await sent_log.note("7e") is False and stand.counters["record.full"] == 1
@@ -158,7 +161,9 @@
         ("store = 'mysql://x'", "store"),
     ],
 )
-def test_a_wrong_file_is_a_config_error_that_names_the_key(tmp_path: Path, text: str, named: str) -> None:
+def test_an_invalid_settings_file_raises_a_config_error_that_names_the_key(
+    tmp_path: Path, text: str, named: str
+) -> None:
     file = tmp_path / "record.toml"
     file.write_text("enabled = true\n" + text)
     with pytest.raises(ConfigError, match=named):
@@ -171,7 +176,7 @@
 
 
 class RecordingBackend(StandBackend):
-    """Notes when each token came; answers after a while, so that kills fall between."""
+    """Records when each token arrived; answers after 0.3 s, so that proxies are killed in between."""
 
     def __init__(self, name: str, kind: str, zone: str, arrivals: dict[str, list[float]]) -> None:
         super().__init__(name, kind=kind, zone=zone)
@@ -188,15 +193,18 @@
         writer.close()
 
 
-async def play(url: str, folder: Path, seed: int) -> dict[str, list[float]]:
-    """Picks by clients that come again with the same token, to a proxy that is killed at random points."""
+async def run_with_kills(url: str, folder: Path, seed: int) -> dict[str, list[float]]:
+    """Send keyed requests to a proxy that is killed at random points; clients repeat them with the same token.
+
+    Returns the times at which each token arrived at the backends.
+    """
     rng, arrivals = random.Random(seed), dict[str, list[float]]()
     backends = [
         RecordingBackend(n, k, z, arrivals)
         for n, k, z in (("a", "std-box", "edge-1"), ("hub", "parent", "north"), ("archive", "origin", "north"))
     ]
     settings = copy.deepcopy(SETTINGS)
-    settings["classes"][2] |= {"window": WINDOW_S, "giveUp": 1.0}
+    settings["classes"][2] |= {"window": REPEAT_WINDOW_S, "giveUp": 1.0}
     port = free_port()
     folder.mkdir(exist_ok=True)
     (folder / "record.toml").write_text(f"enabled = {'true' if url else 'false'}\nstore = '{url}'\nwait_ms = 500\n")
@@ -259,26 +267,30 @@
     return arrivals
 
 
-def repeated_late(arrivals: dict[str, list[float]]) -> list[str]:
-    """Tokens that a backend met again after their window (and what a request takes to get there)."""
-    return [token for token, times in arrivals.items() if max(times) - min(times) > WINDOW_S + 0.25]
+def tokens_repeated_late(arrivals: dict[str, list[float]]) -> list[str]:
+    """Return the tokens that arrived again after their repeat window, plus 0.25 s for the way to the backend."""
+    return [token for token, times in arrivals.items() if max(times) - min(times) > REPEAT_WINDOW_S + 0.25]
 
 
 @pytest.mark.parametrize("kind", ["sqlite", "postgresql"])
-def test_a_killed_proxy_repeats_no_keyed_request_outside_its_window(tmp_path: Path, kind: str) -> None:
-    server = PgStand() if kind == "postgresql" else None
+def test_a_killed_proxy_repeats_no_keyed_request_outside_its_repeat_window(tmp_path: Path, kind: str) -> None:
+    server = FakePostgresServer() if kind == "postgresql" else None
     url = server.url() if server else f"sqlite:///{tmp_path}/sent.db"
-    shown = False
+    has_repeats = False
     for seed in range(1, 7):
-        arrivals = asyncio.run(play(url, tmp_path / f"{seed}", seed))
-        assert not repeated_late(arrivals) and len(arrivals) > 6  # on every play
-        shown = shown or any(len(times) > 1 for times in arrivals.values())  # some were sent again, in their window
-        if shown and seed >= 2:  # on a busy machine starts may outlast the window: such a play shows too little
+        arrivals = asyncio.run(run_with_kills(url, tmp_path / f"{seed}", seed))
+        assert not tokens_repeated_late(arrivals) and len(arrivals) > 6  # must hold in every run
+        # Some requests must be sent again within their window. On a busy machine starts may outlast the window, and a
+        # run in which none is sent again shows too little: then the next seeds are run.
+        has_repeats = has_repeats or any(len(times) > 1 for times in arrivals.values())
+        if has_repeats and seed >= 2:
             break
     if server:
         server.close()
-    assert shown
+    assert has_repeats
 
 
-def test_without_the_log_the_same_play_finds_repeated_requests(tmp_path: Path) -> None:
-    assert any(repeated_late(asyncio.run(play("", tmp_path / f"{seed}", seed))) for seed in (1, 2, 3))
+def test_without_the_log_the_same_runs_repeat_requests_outside_their_window(tmp_path: Path) -> None:
+    assert any(
+        tokens_repeated_late(asyncio.run(run_with_kills("", tmp_path / f"{seed}", seed))) for seed in (1, 2, 3)
+    )
--- a/tests/test_stored_leases.py
+++ b/tests/test_stored_leases.py
@@ -10,12 +10,12 @@
 import pytest
 
 from beechslip.leases.paxos import LeaseTuning
-from beechslip.leases.stored import Rows, StoredLeases
+from beechslip.leases.stored import SqlConnection, StoredLeases
 from beechslip.store import StoreError
 from beechslip.store.postgres import PostgresDatabase
 from beechslip.store.sqlite import SqliteDatabase
 from lab.check import LeaseChecker
-from tests.pg_stand import PASSWORD, PgStand
+from tests.pg_stand import PASSWORD, FakePostgresServer
 
 T = LeaseTuning(1000.0, 1000.0, 100.0, 0.01, 50.0)
 
@@ -23,7 +23,7 @@
 class Faulty:
     """A store that now and then can't be reached, or loses the answer of what it has committed."""
 
-    def __init__(self, rows: Rows, rng: random.Random) -> None:
+    def __init__(self, rows: SqlConnection, rng: random.Random) -> None:
         self.rows, self.rng, self.unreachable, self.lost = rows, rng, 0.0, 0.0
 
     def run(self, sql: str, **values: Any) -> list[tuple[Any, ...]]:
@@ -36,13 +36,13 @@
 
 
 @pytest.fixture(params=["sqlite", "postgresql"])
-def rows(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[Rows]:
+def rows(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[SqlConnection]:
     if request.param == "sqlite":
         database = SqliteDatabase(str(tmp_path / "store.db"))
         yield database
         database.close()
         return
-    server = PgStand()
+    server = FakePostgresServer()
     host, _, port = server.url().split("@")[1].split("/")[0].partition(":")
     postgres = PostgresDatabase(host, int(port), "u", PASSWORD, "d")
     yield postgres
@@ -50,7 +50,7 @@
     server.close()
 
 
-def contend(rows: Rows, seed: int, until_ms: float, calm: bool = False) -> LeaseChecker:
+def contend(rows: SqlConnection, seed: int, until_ms: float, calm: bool = False) -> LeaseChecker:
     """Three contenders with drifting clocks; each may stand still, or start anew with nothing."""
     rng, checker, now = random.Random(seed), LeaseChecker(), [0.0]
     store = Faulty(rows, rng)
@@ -108,7 +108,7 @@
     assert found > 0
 
 
-def test_a_contender_waits_as_long_as_the_holder_says_whatever_its_own_time_is(rows: Rows) -> None:
+def test_a_contender_waits_as_long_as_the_holder_says_whatever_its_own_time_is(rows: SqlConnection) -> None:
     now = [0.0]
     one = StoredLeases("d0", 1, rows, lambda: now[0], T)
     two = StoredLeases("d1", 1, rows, lambda: now[0], LeaseTuning(300.0, 300.0, 30.0, 0.01, 50.0))
@@ -122,7 +122,7 @@
     assert now[0] >= 1000.0
 
 
-def test_one_holds_extends_lets_go_and_another_follows(rows: Rows) -> None:
+def test_one_holds_extends_lets_go_and_another_follows(rows: SqlConnection) -> None:
     now = [0.0]
     one, two = (StoredLeases(name, 1, rows, lambda: now[0], T) for name in ("d0", "d1"))
     for each in (one, two):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -24,7 +24,7 @@
 from lab.stand import OK, Stand, StandBackend, fetch, read_message, run, until
 from tests.connection_helpers import Gated, client, command, connections
 from tests.test_program import ROOT, Program, program
-from tests.test_record import stage, submit
+from tests.test_record import proxy_with_sent_log, submit_keyed_request
 from tests.test_rules import ERROR, Plan
 
 FAULTS = ROOT / "lab" / "faults"
@@ -383,14 +383,14 @@
 
 @run
 async def test_the_log_of_requests_outlives_a_step_of_the_wall_clock(tmp_path: Path) -> None:
-    async with stage(f"sqlite:///{tmp_path}/store.db", OK) as (stand, _):
-        assert (await submit(stand))[0] == 200
+    async with proxy_with_sent_log(f"sqlite:///{tmp_path}/store.db", OK) as (stand, _):
+        assert (await submit_keyed_request(stand))[0] == 200
         stand.clock.advance(8_000)
         stand.clock.step_ms = 7_200_000.0
         record: Any = stand.engine.services.sent_log
         record._pruned_ms = -1e9  # it is time to forget old rows
-        assert (await submit(stand, "6d"))[0] == 200
-        assert (await submit(stand))[0] == 502  # its window is over
+        assert (await submit_keyed_request(stand, "6d"))[0] == 200
+        assert (await submit_keyed_request(stand))[0] == 502  # its window is over
 
 
 # Discovery --------------------------------------------------------------------------------------------------
