--- a/beechslip/agent/leases.py
+++ b/beechslip/agent/leases.py
@@ -77,7 +77,7 @@
             self._leases.tick()
 
     def request(self, name: str, is_preferred: bool) -> None:
-        """Request a lease, unless it is not ``is_preferred`` and the time reserved for home agents is not over."""
+        """Request a lease; without ``is_preferred`` only after the time reserved for home agents is over."""
         now_ms = self._clock()
         if is_preferred or now_ms >= self._request_others_from_ms:
             self._leases.want(name, now_ms)  # without the lock: the event loop must not wait for a slow store
--- a/beechslip/agent/order_execution.py
+++ b/beechslip/agent/order_execution.py
@@ -97,7 +97,7 @@
             supervised.is_stop_requested = False
 
     async def _take_step(self, tables: OrderStore, step: Step, holder: str, fence: Fence | None) -> bool:
-        """True if the step is this agent's.
+        """Take a step unless this agent has taken it already; return True if this agent may execute it.
 
         The step is recorded as taken before any action is done for it.
         """
--- a/beechslip/orders/runner.py
+++ b/beechslip/orders/runner.py
@@ -55,6 +55,7 @@
 
 
 RecordUpdate = StepUpdate | OrderUpdate
+"""A conditional write to the stored orders and steps."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,9 +86,9 @@
     def decide(self, now_ms: float, orders: Sequence[Order], fleet: Sequence[Instance]) -> list[RecordUpdate]:
         """Return the updates to write now, in this order; ``now_ms`` is steady time."""
         updates: list[RecordUpdate] = [OrderUpdate(v.order, v.state, v.why) for v in resolve_conflicts(orders)]
-        has_begun = [order for order in orders if order.has_begun]
-        self._update_observations(now_ms, has_begun)
-        for order in has_begun:
+        begun_orders = [order for order in orders if order.has_begun]
+        self._update_observations(now_ms, begun_orders)
+        for order in begun_orders:
             updates += self._decide_order(now_ms, order, fleet)
         return updates
 
--- a/beechslip/store/sent_requests.py
+++ b/beechslip/store/sent_requests.py
@@ -155,7 +155,7 @@
         if not call.cancelled():
             call.exception()  # mark as retrieved: a caller that stopped waiting has already logged its timeout
 
-    # Called in the thread -----------------------------------------------------------------------------------------
+    # Called in the thread ----------------------------------------------------------------------------------
 
     def _connect(self) -> SqlConnection:
         if self._store is None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -310,7 +310,7 @@
     )
     assert not store.record_event(0.0, "n1", "x", "", stale) and store.record_event(0.0, "n1", "x", "", mine)
     with pytest.raises(StoreError, match="no longer held"):
-        store.want("n1", "drained", stale)
+        store.set_wanted("n1", "drained", stale)
     assert not store.remove("n1", stale) and store.remove("n1", mine)
     order_store.prune(4.0, 100, None)
     assert order_store.newest(9) != [] and order_store.get(99) is None
