--- a/beechslip/agent/supervisor.py
+++ b/beechslip/agent/supervisor.py
@@ -131,7 +131,7 @@
     async def shut_down(
         self, instances: Mapping[str, SupervisedInstance], ownership: Callable[[str], LeaseOwnership]
     ) -> None:
-        """Stop all processes: send SIGTERM to all of them, and SIGKILL to those that have not drained in time."""
+        """Stop all processes: SIGTERM is sent to all at once, and SIGKILL to those that have not drained in time."""
         timed_out = asyncio.Event()
         timer = self._clock.call_later(DRAIN_TIMEOUT_MS, timed_out.set)
         running = [
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -145,7 +145,7 @@
     assert decide_updates(paused, FLEET) == [OrderUpdate(paused, "running")]
 
 
-def test_a_cancelled_order_requests_no_more_steps_and_ends_those_in_progress() -> None:
+def test_cancelling_an_order_refuses_its_waiting_steps_and_leaves_the_others() -> None:
     one = with_steps(make_order(1, "abc", "running"), a="taken", b="done")
     assert [(a.step.instance, a.state) for a in cancellation_updates(one) if isinstance(a, StepUpdate)] == [
         ("c", "refused")
