--- a/tests/test_stored_leases.py
+++ b/tests/test_stored_leases.py
@@ -10,12 +10,12 @@
 import pytest
 
 from beechslip.leases.paxos import LeaseTuning
-from beechslip.leases.stored import Rows, StoredLeases
+from beechslip.leases.stored import SqlConnection, StoredLeases
 from beechslip.store import StoreError
 from beechslip.store.postgres import PostgresDatabase
 from beechslip.store.sqlite import SqliteDatabase
 from lab.check import LeaseChecker
-from tests.pg_stand import PASSWORD, PgStand
+from tests.pg_stand import PASSWORD, FakePostgresServer
 
 TUNING = LeaseTuning(1000.0, 1000.0, 100.0, 0.01, 50.0)
 
@@ -23,7 +23,7 @@
 class FaultyStore:
     """A store that at times can't be reached, or commits a statement and loses its answer."""
 
-    def __init__(self, rows: Rows, rng: random.Random) -> None:
+    def __init__(self, rows: SqlConnection, rng: random.Random) -> None:
         self.rows, self.rng, self.unreachable_rate, self.lost_answer_rate = rows, rng, 0.0, 0.0
 
     def run(self, sql: str, **values: Any) -> list[tuple[Any, ...]]:
@@ -36,13 +36,13 @@
 
 
 @pytest.fixture(params=["sqlite", "postgresql"])
-def rows(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[Rows]:
+def rows(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[SqlConnection]:
     if request.param == "sqlite":
         database = SqliteDatabase(str(tmp_path / "store.db"))
         yield database
         database.close()
         return
-    server = PgStand()
+    server = FakePostgresServer()
     host, _, port = server.url().split("@")[1].split("/")[0].partition(":")
     postgres = PostgresDatabase(host, int(port), "u", PASSWORD, "d")
     yield postgres
@@ -50,7 +50,7 @@
     server.close()
 
 
-def run_contenders(rows: Rows, seed: int, until_ms: float, is_fault_free: bool = False) -> LeaseChecker:
+def run_contenders(rows: SqlConnection, seed: int, until_ms: float, is_fault_free: bool = False) -> LeaseChecker:
     """Run three contenders with drifting clocks. Unless ``is_fault_free``, each may pause, or restart empty."""
     rng, checker, now = random.Random(seed), LeaseChecker(), [0.0]
     store = FaultyStore(rows, rng)
@@ -113,7 +113,7 @@
     assert found > 0
 
 
-def test_contender_waits_for_the_duration_in_the_row_whatever_its_own_lease_time_is(rows: Rows) -> None:
+def test_contender_waits_for_the_duration_in_the_row_whatever_its_own_lease_time_is(rows: SqlConnection) -> None:
     now = [0.0]
     first = StoredLeases("d0", 1, rows, lambda: now[0], TUNING)
     second = StoredLeases("d1", 1, rows, lambda: now[0], LeaseTuning(300.0, 300.0, 30.0, 0.01, 50.0))
@@ -127,7 +127,7 @@
     assert now[0] >= 1000.0
 
 
-def test_lease_is_held_extended_released_and_taken_by_another_with_a_higher_token(rows: Rows) -> None:
+def test_lease_is_held_extended_released_and_taken_by_another_with_a_higher_token(rows: SqlConnection) -> None:
     now = [0.0]
     first, second = (StoredLeases(name, 1, rows, lambda: now[0], TUNING) for name in ("d0", "d1"))
     for leases in (first, second):
