--- a/beechslip/__init__.py
+++ b/beechslip/__init__.py
@@ -1,1 +1,1 @@
-"""beechslip: a proxy that routes requests to caches by the decisions of ``beechslip.routing``."""
+"""beechslip: a proxy that routes requests to caches as ``beechslip.routing`` decides."""
--- a/beechslip/__main__.py
+++ b/beechslip/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m beechslip`` runs one proxy; with arguments it is the command line."""
+"""Entry point of ``python -m beechslip``: runs one proxy, or the command line if there are arguments."""
 
 import signal
 import sys
@@ -8,10 +8,12 @@
 
     sys.exit(cli.main())
 
-# Guards against an end by a signal that comes while the program loads: it waits until the proxy hears it.
+# By default these signals end the process. Blocked, one that arrives while the program loads stays pending until the
+# proxy has installed its handlers.
 signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP, signal.SIGUSR1])
 
-# A serving proxy starts no programs and uses no sendfile: refused here before aiohttp is imported.
+# A proxy that serves starts no other programs and does not use sendfile. Both are forbidden here, before aiohttp is
+# imported.
 from beechslip.platform.confine import confine  # noqa: E402
 
 confine()
--- a/beechslip/cli_orders.py
+++ b/beechslip/cli_orders.py
@@ -1,4 +1,4 @@
-"""The command ``order``: give orders over many instances, cancel them, and print their reports."""
+"""The ``order`` command: create orders for several instances, cancel them, and print their reports."""
 
 from __future__ import annotations
 
@@ -12,50 +12,51 @@
 from beechslip.orders.runner import OrderUpdate, cancellation
 from beechslip.store import Instance, Store, StoreError
 
-LISTED_ORDERS = 20
-WAIT_POLL_S = 0.2
+MAX_LISTED_ORDERS = 20
+ORDER_POLL_INTERVAL_S = 0.2
 
 
 def order_command(store: Store, arguments: argparse.Namespace) -> int:
-    """Execute the command; its exit code: 1 if an instance is not done, or the order was rejected.
+    """Execute the ``order`` command and return its exit code.
 
-    StoreError if the store fails, or the arguments name what it does not have.
+    The exit code is 1 if the order was rejected, or if it is done but some of its instances are not. Raises
+    StoreError if the store fails, or if the arguments name an order, an instance or a zone that it does not hold.
     """
     orders = OrderStore(store.rows)
     match arguments.action:
         case "list":
-            _print_list(orders)
+            _print_orders(orders)
             return 0
         case "show":
-            return _print_report(_get(orders, arguments.number))
+            return _print_report(_get_order(orders, arguments.number))
         case "cancel":
-            order = _get(orders, arguments.number)
-            _cancel(orders, order)
+            order = _get_order(orders, arguments.number)
+            _cancel_order(orders, order)
             return _print_report(orders.get(order.id) or order)
         case _:
-            return _give(store, orders, arguments)
+            return _create_order(store, orders, arguments)
 
 
-def _get(orders: OrderStore, number: int) -> Order:
+def _get_order(orders: OrderStore, number: int) -> Order:
     order = orders.get(number)
     if order is None:
-        raise StoreError(f"there is no order {number}")
+        raise StoreError(f"no order {number} in the store")
     return order
 
 
-def _print_list(orders: OrderStore) -> None:
-    for order in orders.newest(LISTED_ORDERS):
+def _print_orders(orders: OrderStore) -> None:
+    for order in orders.newest(MAX_LISTED_ORDERS):
         print(f"{order.id}\t{order.kind}\t{order.who}\t{order.state}\t{order.why or '-'}")
 
 
 def _print_report(order: Order) -> int:
-    found = report(order)
-    print("\n".join(found.lines()))
-    incomplete = order.state == "done" and bool(found.not_done)
-    return 1 if order.state == "refused" or incomplete else 0
+    summary = report(order)
+    print("\n".join(summary.lines()))
+    is_incomplete = order.state == "done" and bool(summary.not_done)
+    return 1 if order.state == "refused" or is_incomplete else 0
 
 
-def _cancel(orders: OrderStore, order: Order) -> None:
+def _cancel_order(orders: OrderStore, order: Order) -> None:
     for update in cancellation(order):
         if isinstance(update, OrderUpdate):
             orders.set_order(update.order, update.state, update.why, None)
@@ -63,18 +64,21 @@
             orders.set_step(update.step, update.state, update.detail, None)
 
 
-def _give(store: Store, orders: OrderStore, arguments: argparse.Namespace) -> int:
-    """Create an order, and with ``--wait`` print its report once it has ended or the time is over."""
-    instances = _select(store, arguments)
-    limits = _limits(arguments)
+def _create_order(store: Store, orders: OrderStore, arguments: argparse.Namespace) -> int:
+    """Create an order and return the exit code.
+
+    With ``--wait``, print the report of the order once it has ended or the time is over.
+    """
+    instances = _select_instances(store, arguments)
+    limits = _read_limits(arguments)
     number = orders.create(SystemClock().now_ms(), arguments.action, arguments.who, instances, limits)
-    order = _get(orders, number)
+    order = _get_order(orders, number)
     print(f"order {number}")
     deadline_s = time.monotonic() + arguments.wait
     while order.state in OPEN_ORDER_STATES and time.monotonic() < deadline_s:
-        time.sleep(WAIT_POLL_S)
+        time.sleep(ORDER_POLL_INTERVAL_S)
         refreshed = orders.get(number)
-        if refreshed is None:  # pruned meanwhile
+        if refreshed is None:  # the store has deleted this order in the meantime
             return 0
         order = refreshed
     if not arguments.wait:
@@ -82,8 +86,11 @@
     return _print_report(orders.get(number) or order)
 
 
-def _select(store: Store, arguments: argparse.Namespace) -> list[Instance]:
-    """The instances that the arguments choose; StoreError if they choose none, or name what is not declared."""
+def _select_instances(store: Store, arguments: argparse.Namespace) -> list[Instance]:
+    """Return the instances that the arguments select.
+
+    Raises StoreError if they select none, or name an instance or a zone that is not declared.
+    """
     instances = {instance.name: instance for instance in store.instances()}
     _check_names(instances, arguments)
     chosen = [
@@ -92,22 +99,23 @@
         if arguments.all or name in arguments.names or (arguments.zone and instance.zone == arguments.zone)
     ]
     if not chosen:
-        raise StoreError("no instance is chosen: name some, or a --zone, or --all")
+        raise StoreError("no instance is chosen: give instance names, --zone or --all")
     return chosen
 
 
 def _check_names(instances: Mapping[str, Instance], arguments: argparse.Namespace) -> None:
-    unknown = [name for name in arguments.names if name not in instances]
-    if unknown:
-        raise StoreError(f"no instance is called {', '.join(unknown)}")
+    """Raise StoreError if a name on the command line is not declared, or if no instance is in the given zone."""
+    unknown_names = [name for name in arguments.names if name not in instances]
+    if unknown_names:
+        raise StoreError(f"no instance is called {', '.join(unknown_names)}")
     if arguments.zone and all(instance.zone != arguments.zone for instance in instances.values()):
-        raise StoreError(f"no instance is of zone {arguments.zone}")
+        raise StoreError(f"no instance is in zone {arguments.zone}")
 
 
-def _limits(arguments: argparse.Namespace) -> OrderLimits:
-    """The limits that the arguments give; StoreError if one is out of range."""
+def _read_limits(arguments: argparse.Namespace) -> OrderLimits:
+    """Return the limits that the arguments set. Raises StoreError if one is out of range."""
     limits = OrderLimits(arguments.at_most, arguments.by_zone, arguments.least_healthy, arguments.least_served)
     fractions = (limits.by_zone, limits.least_healthy, limits.least_served)
     if limits.at_most < 1 or not all(0.0 <= fraction <= 1.0 for fraction in fractions):
-        raise StoreError("--at-most must be at least 1, and shares from 0 to 1")
+        raise StoreError("invalid limits: --at-most must be at least 1, and shares must be from 0 to 1")
     return limits
--- a/beechslip/config.py
+++ b/beechslip/config.py
@@ -1,4 +1,4 @@
-"""A proxy's configuration: the EDGE_* variables, its JSON file, and the TOML files under ``deploy/``."""
+"""The configuration of a proxy: EDGE_* environment variables, a JSON file, and TOML files in ``deploy/``."""
 
 from __future__ import annotations
 
@@ -17,97 +17,106 @@
 from beechslip.routing.interface import Settings
 from beechslip.routing.wire.settings import read_settings
 
-DEFAULT_SOCKETS = 1024
+DEFAULT_MAX_SOCKETS = 1024
 LOG_LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING}
 MAX_PORT = 65535
 MAX_FD_DIGITS = 7
-PER_CLASS_LISTS = ("goesThrough", "maxAge", "staleFor")  # settings that are lists in the order of the classes
+# Each of these settings is a list with one value per class, in the order of the classes.
+SETTINGS_LISTED_BY_CLASS = ("goesThrough", "maxAge", "staleFor")
 DNS_FILE = Path(__file__).resolve().parent.parent / "deploy" / "dns.toml"
 RECORD_FILE = DNS_FILE.with_name("record.toml")  # read by beechslip.store.sent_requests
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used."""
+    """The configuration is missing, can't be read or is invalid."""
 
 
 class ConfigUnreadableError(ConfigError):
-    """The configuration's file can't be read for the moment: a fault of the system, not of the file."""
+    """A configuration file can't be read at the moment, because of the system and not because of its contents."""
 
 
-# Errors of a read that may be gone a moment later.
+# A read that failed with one of these errors may succeed a moment later.
 TRANSIENT_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.EINTR, errno.EAGAIN})
 
 
 def log_level(environ: Mapping[str, str]) -> int:
-    """The level that EDGE_LOG names (``debug`` has a line for each request and attempt); ConfigError for another."""
+    """Return the log level that EDGE_LOG names; ``debug`` logs a line for each request and attempt.
+
+    Raises ConfigError if EDGE_LOG names no known level.
+    """
     name = environ.get("EDGE_LOG") or "info"
     if name not in LOG_LEVELS:
-        raise ConfigError(f"EDGE_LOG is none of {', '.join(LOG_LEVELS)}: {name!r:.60}")
+        raise ConfigError(f"invalid EDGE_LOG: expected one of {', '.join(LOG_LEVELS)}, not {name!r:.60}")
     return LOG_LEVELS[name]
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where something listens: an IP address or a name, and a port."""
+    """A network address: an IP address or a host name, and a port."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """``host:port``, as ``parse_address`` reads it."""
+        """Return ``host:port``, which ``parse_address`` can read."""
         return f"{self.host}:{self.port}"
 
 
 def parse_address(text: str) -> Address:
-    """Read ``host:port``, as in ``10.0.0.4:7001``; ConfigError where the text is anything else."""
+    """Parse ``host:port``, for example ``10.0.0.4:7001``. Raises ConfigError for any other text."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ConfigError(f"not an address: {text!r:.60}")
+        raise ConfigError(f"invalid address {text!r:.60}: expected host:port with a port from 1 to 65535")
     return Address(host.strip("[]"), int(port))
 
 
 @dataclass(frozen=True, slots=True)
 class DnsConfig:
-    """Where the DNS front listens, and for what zone; see ``deploy/dns.toml``."""
+    """The settings of the DNS front, from ``deploy/dns.toml``: its DNS zone, its address and its times."""
 
     zone: str
     listen: Address
-    hold_ms: float = 1000.0  # an answer counts as an attempt in flight for this long
-    wait_ms: float = 1500.0  # a resolver is answered within this
+    hold_ms: float = 1000.0  # how long an answer counts as an attempt in flight
+    wait_ms: float = 1500.0  # the time limit for answering a resolver
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One proxy's configuration."""
+    """The configuration of one proxy."""
 
     name: str
     listen: Address
     seed: int
     settings: Settings
-    changelog: Address | None = None
-    known: Mapping[str, Any] = field(default_factory=dict)  # the change log's events up to the file's writing
-    sockets: int = DEFAULT_SOCKETS  # the most that may be open, of clients and to backends together
-    ops: Address | None = None  # where operators' requests are served
-    fd: int | None = None  # the platform's listening socket, where it holds that
+    changelog_address: Address | None = None
+    known_events: Mapping[str, Any] = field(default_factory=dict)  # change log events up to the writing of the file
+    max_sockets: int = DEFAULT_MAX_SOCKETS  # limit on open connections of clients and to backends together
+    ops_address: Address | None = None  # where operators' requests are served
+    listening_fd: int | None = None  # descriptor of the listening socket, if the platform has opened it
     dns: DnsConfig | None = None
-    contents: Mapping[str, Any] = field(default_factory=dict)  # the file as it was read, with no value for "known"
+    file_contents: Mapping[str, Any] = field(default_factory=dict)  # the JSON file, but with None for "known"
+
 
+def read_if_enabled(path: Path) -> dict[str, Any] | None:
+    """Read the TOML file of an optional feature, which is on only if the file sets ``enabled = true``.
 
-def read_enabled(path: Path) -> dict[str, Any] | None:
-    """An operator's TOML file for a part that is off unless it says ``enabled = true``; ``None`` where it is
-    absent or off; ConfigError where it can't be read."""
+    Returns ``None`` if the file is absent or the feature is off. Raises ConfigError if the file can't be read.
+    """
     try:
         table = tomllib.loads(path.read_text())
     except FileNotFoundError:
         return None
     except (OSError, ValueError) as error:
-        raise _read_error(path.name, error) from None
+        raise _file_error(path.name, error) from None
     return table if table.get("enabled") is True else None
 
 
-def read_dns(path: Path) -> DnsConfig | None:
-    """The DNS front's file; None where it is absent or off; ConfigError where it can't be used."""
-    table = read_enabled(path)
+def read_dns_config(path: Path) -> DnsConfig | None:
+    """Read the settings of the DNS front; None if the file is absent or the front is off.
+
+    Raises ConfigError if the file can't be read or is invalid.
+    """
+    table = read_if_enabled(path)
     if table is None:
         return None
     try:
@@ -122,131 +131,132 @@
 
 
 def read_config(env: Mapping[str, str] | None = None) -> Config:
-    """Read the file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_OPS go before what it says.
+    """Read the file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_OPS override its values.
 
-    ``env``: the process's environment by default. ConfigError where the file or a variable can't be used,
-    ConfigUnreadableError where the file can't be read for the moment.
+    ``env``: the environment of the process by default. Raises ConfigError if the file or a variable is invalid, and
+    ConfigUnreadableError if the file can't be read at the moment.
     """
     env = os.environ if env is None else env
-    path, contents = _load(env)
+    path, contents = _load_file(env)
     if not isinstance(contents, dict) or not isinstance(contents.get("settings"), dict):
-        raise ConfigError(f"{path}: no settings")
+        raise ConfigError(f"{path}: expected a JSON object with an object 'settings'")
     known = contents.get("known")
     return Config(
         name=env.get("EDGE_NAME") or str(contents.get("name", "")),
-        seed=_seed(path, contents),
-        fd=_inherited_fd(env),
+        seed=_read_seed(path, contents),
+        listening_fd=_read_listening_fd(env),
         listen=parse_address(env.get("EDGE_LISTEN") or str(contents.get("listen", ""))),
         settings=read_settings(contents["settings"]),
-        changelog=_optional_address(contents.get("changelog")),
-        known=known if isinstance(known, dict) else {},
-        ops=_optional_address(env.get("EDGE_OPS") or contents.get("ops")),
-        sockets=_sockets(contents.get("limits")),
-        dns=read_dns(Path(env["EDGE_DNS"]) if env.get("EDGE_DNS") else DNS_FILE),
-        contents={name: None if name == "known" else value for name, value in contents.items()},
+        changelog_address=_parse_optional_address(contents.get("changelog")),
+        known_events=known if isinstance(known, dict) else {},
+        ops_address=_parse_optional_address(env.get("EDGE_OPS") or contents.get("ops")),
+        max_sockets=_read_max_sockets(contents.get("limits")),
+        dns=read_dns_config(Path(env["EDGE_DNS"]) if env.get("EDGE_DNS") else DNS_FILE),
+        file_contents={name: None if name == "known" else value for name, value in contents.items()},
     )
 
 
-def _seed(path: str, contents: Mapping[str, Any]) -> int:
+def _read_seed(path: str, contents: Mapping[str, Any]) -> int:
     try:
         return int(str(contents.get("seed", "0")), 16)
     except ValueError as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _inherited_fd(env: Mapping[str, str]) -> int | None:
-    """The descriptor of the platform's listening socket, where EDGE_FD names one."""
+def _read_listening_fd(env: Mapping[str, str]) -> int | None:
+    """Return the descriptor of the platform's listening socket, if EDGE_FD names one."""
     fd = env.get("EDGE_FD")
     if not fd:
         return None
     if not (fd.isascii() and fd.isdigit() and len(fd) <= MAX_FD_DIGITS):
-        raise ConfigError(f"EDGE_FD is no descriptor: {fd!r:.60}")
+        raise ConfigError(f"invalid EDGE_FD {fd!r:.60}: expected the number of a file descriptor")
     return int(fd)
 
 
-def _optional_address(value: Any) -> Address | None:
+def _parse_optional_address(value: Any) -> Address | None:
     return parse_address(value) if isinstance(value, str) and value else None
 
 
-def _sockets(limits: Any) -> int:
+def _read_max_sockets(limits: Any) -> int:
     sockets = limits.get("sockets") if isinstance(limits, dict) else None
-    return sockets if isinstance(sockets, int) and sockets > 0 else DEFAULT_SOCKETS
+    return sockets if isinstance(sockets, int) and sockets > 0 else DEFAULT_MAX_SOCKETS
 
 
 def reread_config(before: Config, env: Mapping[str, str] | None = None) -> Config:
-    """Read the file again, for a program that runs by what it said before; raises ConfigError.
+    """Read the configuration file again while the proxy is running on ``before``.
 
-    Guards against a file that is half written or wrong in one place: at a start it would be read leniently,
-    but a program that serves must not lose a class, a rule or its change log to it.
+    The check is stricter than at a start, which replaces missing or invalid values by defaults. A proxy that serves
+    must not lose a class, a rule or its change log because the file is half written or wrong in one place. Raises
+    ConfigError if the file is incomplete or invalid.
     """
     env = os.environ if env is None else env
-    path, contents = _load(env)
+    path, contents = _load_file(env)
     try:
-        _check_complete(before.contents, contents, "the file")
+        _check_complete(before.file_contents, contents, "the file")
         _check_classes(contents["settings"])
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from None
     return read_config(env)
 
 
-def _load(env: Mapping[str, str]) -> tuple[str, Any]:
-    """The path of the configuration file, and the JSON value that it holds."""
+def _load_file(env: Mapping[str, str]) -> tuple[str, Any]:
+    """Return the path of the configuration file, and the JSON value that it holds."""
     path = env.get("EDGE_CONFIG")
     if not path:
         raise ConfigError("EDGE_CONFIG is not set")
     try:
         return path, orjson.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
-        raise _read_error(path, error) from None
+        raise _file_error(path, error) from None
 
 
-def _read_error(path: str, error: OSError | ValueError) -> ConfigError:
-    """The error for a file that can't be opened, read or parsed."""
-    transient = isinstance(error, OSError) and error.errno in TRANSIENT_ERRNOS
-    kind = ConfigUnreadableError if transient else ConfigError
+def _file_error(path: str, error: OSError | ValueError) -> ConfigError:
+    """Return the error for a file that can't be opened, read or parsed."""
+    is_transient = isinstance(error, OSError) and error.errno in TRANSIENT_ERRNOS
+    kind = ConfigUnreadableError if is_transient else ConfigError
     return kind(f"{path}: {error}")
 
 
-def _json_kind(value: Any) -> type:
+def _json_type(value: Any) -> type:
     return float if isinstance(value, int) and not isinstance(value, bool) else type(value)
 
 
 def _check_complete(before: Any, now: Any, where: str) -> None:
-    """All that was in the file before is there again, each with the same kind of value; else ConfigError.
+    """Raise ConfigError if a key of the previous file is missing, or has a value of another JSON type.
 
-    In a list of objects each must have what all of them had.
+    Each object of a list must have the keys that all objects of the previous list had in common.
     """
-    if before is not None and _json_kind(before) is not _json_kind(now):
-        raise ConfigError(f"{where} has another kind of value")
+    if before is not None and _json_type(before) is not _json_type(now):
+        raise ConfigError(f"{where} has another JSON type than before the reload")
     if isinstance(before, Mapping):
         for name, value in before.items():
             if name not in now:
-                raise ConfigError(f"{where} lacks {name!r}")
+                raise ConfigError(f"{where} has no {name!r}, but had it before the reload")
             _check_complete(value, now[name], name)
     elif isinstance(before, list) and before and all(isinstance(entry, Mapping) for entry in before):
         common = {name: value for name, value in before[0].items() if all(name in entry for entry in before)}
         for entry in now:
-            _check_complete(common, entry, f"an entry of {where}")
+            _check_complete(common, entry, f"an element of {where}")
 
 
-def _above_zero(value: Any) -> bool:
+def _is_positive_number(value: Any) -> bool:
     return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 < value < math.inf
 
 
 def _check_classes(settings: Mapping[str, Any]) -> None:
-    """Classes, their deadlines and the cap of attempts are there and can be used; else ConfigError."""
+    """Raise ConfigError if the classes, their deadlines or the limit on attempts are missing or invalid."""
     classes, specifics, caps = settings.get("classes"), settings.get("specifics"), settings.get("caps")
     if not classes or not isinstance(classes, list):
-        raise ConfigError("no classes")
+        raise ConfigError("invalid classes: expected a list with at least one class")
     names = [entry.get("name") for entry in classes]
     if not all(isinstance(name, str) and name for name in names) or len(set(names)) < len(names):
-        raise ConfigError("a class without a name of its own")
+        raise ConfigError("invalid classes: each needs a name that no other class has")
     for entry in classes:
-        if not _above_zero(entry.get("giveUp")):
-            raise ConfigError(f"the deadline of {entry['name']!r} is no number above 0")
-    if not _above_zero(caps.get("maxAttempts") if isinstance(caps, dict) else None):
-        raise ConfigError("the number of attempts is no number above 0")
-    for name in PER_CLASS_LISTS:
+        if not _is_positive_number(entry.get("giveUp")):
+            raise ConfigError(f"invalid giveUp of class {entry['name']!r}: expected a number above 0")
+    if not _is_positive_number(caps.get("maxAttempts") if isinstance(caps, dict) else None):
+        raise ConfigError("invalid maxAttempts: expected a number above 0")
+    for name in SETTINGS_LISTED_BY_CLASS:
         values = specifics.get(name) if isinstance(specifics, dict) else None
         if values is not None and (not isinstance(values, list) or len(values) != len(classes)):
-            raise ConfigError(f"{name!r} does not go with the classes")
+            raise ConfigError(f"invalid {name!r}: expected a list with one value per class")
--- a/beechslip/core/attempts.py
+++ b/beechslip/core/attempts.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from beechslip.clock import Alarm, Clock, to_ms, to_seconds
+from beechslip.clock import Clock, ScheduledCall, to_ms, to_seconds
 from beechslip.core import guards
 from beechslip.core.guards import ALLOWED, GuardState
 from beechslip.core.model import PROVEN_NOT_EXECUTED, AttemptRequest, AttemptResult, Backend, Result
@@ -35,7 +35,7 @@
         self.stop_reason: Result | None = None
         self.result = AttemptResult("moot")  # a task that is cancelled before its first step runs none of its code
         self.task: asyncio.Task[None] | None = None
-        self.alarm: Alarm | None = None
+        self.alarm: ScheduledCall | None = None
 
     def stop(self, reason: Result) -> None:
         """Give the attempt up. Its result is still posted; a second call changes nothing."""
--- a/beechslip/core/endpoint_table.py
+++ b/beechslip/core/endpoint_table.py
@@ -5,7 +5,7 @@
 import logging
 from dataclasses import replace
 
-from beechslip.clock import Clock, local_ms, to_seconds
+from beechslip.clock import Clock, to_local_ms, to_seconds
 from beechslip.core.messages import EndpointListUpdate
 from beechslip.core.model import Backend
 from beechslip.routing import interface
@@ -52,7 +52,7 @@
             return backend
         dated_ms, started_ms = self._starts.get(backend.name, (0.0, 0.0))
         if dated_ms != backend.started_ms:
-            started_ms = local_ms(self._clock, backend.started_ms)
+            started_ms = to_local_ms(self._clock, backend.started_ms)
             self._starts[backend.name] = backend.started_ms, started_ms
         return backend if started_ms == backend.started_ms else replace(backend, started_ms=started_ms)
 
--- a/beechslip/core/engine.py
+++ b/beechslip/core/engine.py
@@ -13,7 +13,7 @@
 from collections import deque
 from typing import Literal
 
-from beechslip.clock import Clock, local_ms, to_ms, to_seconds
+from beechslip.clock import Clock, to_local_ms, to_ms, to_seconds
 from beechslip.core.attempts import AttemptFinished, AttemptRunner, InFlightAttempt, to_outcome
 from beechslip.core.endpoint_table import EndpointTable, to_list_event
 from beechslip.core.guards import GuardState
@@ -296,5 +296,5 @@
         self._purges.add(purge, now_ms)
         if self.services.observer is not None:
             self.services.observer.purged(purge)
-        age_ms = now_ms - local_ms(self.clock, purge.time_ms)
+        age_ms = now_ms - to_local_ms(self.clock, purge.time_ms)
         self._tell_router(None, interface.Purge(purge.object, purge.group, to_seconds(age_ms)))
--- a/beechslip/core/requests.py
+++ b/beechslip/core/requests.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from beechslip.clock import Alarm, to_seconds
+from beechslip.clock import ScheduledCall, to_seconds
 from beechslip.core.messages import RequestReceived
 from beechslip.core.model import AttemptExecutor, ClientRequest, ResponseSink
 from beechslip.routing import interface
@@ -61,7 +61,7 @@
         self.attempt: InFlightAttempt | None = None  # the one in flight
         self.may_have_run_ms: float | None = None  # when the first attempt that may have run was sent
         self.recorded = False  # in the log of sent requests, where a store is configured
-        self.alarm: Alarm | None = None
+        self.alarm: ScheduledCall | None = None
 
     @property
     def expires_ms(self) -> float:
--- a/beechslip/fleet/peers.py
+++ b/beechslip/fleet/peers.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from beechslip.clock import Alarm, Clock
+from beechslip.clock import Clock, ScheduledCall
 from beechslip.config import Address
 from beechslip.counters import Counters
 from beechslip.fleet.codec import CodecError, decode, encode
@@ -72,7 +72,7 @@
         self._parts = tuple(parts)
         self._tick_ms = tick_ms
         self._transport: asyncio.DatagramTransport | None = None
-        self._alarm: Alarm | None = None
+        self._alarm: ScheduledCall | None = None
         self.move(peers)
 
     def move(self, peers: Sequence[Address]) -> None:
--- a/beechslip/fleet/settings.py
+++ b/beechslip/fleet/settings.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from beechslip.config import Address, Config, ConfigError, parse_address, read_enabled
+from beechslip.config import Address, Config, ConfigError, parse_address, read_if_enabled
 from beechslip.fleet.tuning import MembershipTuning
 
 FLEET_FILE = Path(__file__).resolve().parents[2] / "deploy" / "fleet.toml"
@@ -111,7 +111,7 @@
 def read_fleet(path: Path, config: Config) -> FleetConfig | None:
     """The file's settings; ``None`` where it is absent or not ``enabled``; ConfigError if it can't be used.
     What it leaves out (``listen``, ``peers``, ``number``) is the platform's."""
-    values = read_enabled(path)
+    values = read_if_enabled(path)
     if values is None:
         return None
     table = Table(path.name, values, HEAD + TABLES)
@@ -119,7 +119,7 @@
     number = table.whole("number", config.settings.me, 0, MOST_MEMBERS)
     if number >= len(peers):
         raise table.fail("number", f"is {number}, but there are {len(peers)} peers, counted from 0")
-    listen = table.text("listen") or str(config.contents.get("peer_listen") or peers[number])
+    listen = table.text("listen") or str(config.file_contents.get("peer_listen") or peers[number])
     tuning = _membership_tuning(Table(f"{path.name}: membership", values.get("membership", {}), MEMBERSHIP_KEYS))
     return FleetConfig(
         table.text("name"),
@@ -136,7 +136,7 @@
 
 def _peers(table: Table, config: Config) -> tuple[str, ...]:
     """The members' addresses, by the file or else the platform: bounded and distinct."""
-    platform_peers = config.contents.get("peers")
+    platform_peers = config.file_contents.get("peers")
     peers = table.texts("peers")
     if not peers and isinstance(platform_peers, list):
         peers = tuple(str(peer) for peer in platform_peers)
--- a/beechslip/peering.py
+++ b/beechslip/peering.py
@@ -1,4 +1,4 @@
-"""What one proxy does with its peers: the socket, and the parts that the fleet's file turns on."""
+"""What a proxy does together with its peers: the peer socket and the features that the fleet file turns on."""
 
 from __future__ import annotations
 
@@ -25,28 +25,31 @@
 from beechslip.routing.interface import Settings
 
 
-class ListedHealthChecker:
-    """A health checker that shows other parts, too, which backends are listed."""
+class NotifyingHealthChecker:
+    """A health checker that also tells other parts which backends are in the endpoint list."""
 
-    def __init__(self, inner: HealthChecker, *parts: BudgetPart | RegionPart) -> None:
-        """``inner`` does the checks; ``parts`` see each endpoint list before it does."""
-        self._inner = inner
-        self._parts = parts
+    def __init__(self, health_checker: HealthChecker, *parts: BudgetPart | RegionPart) -> None:
+        """Wrap ``health_checker``, which does the checks. ``parts`` see each endpoint list first."""
+        self._health_checker = health_checker
+        self._notified_parts = parts
 
     def follow(self, backends: Mapping[str, Backend]) -> None:
-        """Pass on the backends that are listed now."""
-        for part in self._parts:
+        """Pass the backends that are listed now to the parts, and then to the health checker."""
+        for part in self._notified_parts:
             part.follow(backends.values())
-        self._inner.follow(backends)
+        self._health_checker.follow(backends)
 
     async def health_check(self, backend: Backend) -> AttemptResult:
-        """Have ``inner`` check a backend."""
-        return await self._inner.health_check(backend)
+        """Check a backend with the wrapped health checker."""
+        return await self._health_checker.health_check(backend)
 
 
 @dataclass
 class Peering:
-    """The peer socket, the health checker for the engine, and the parts that the fleet's file turns on."""
+    """The peer socket, the health checker of the engine, and the parts that the fleet file turns on.
+
+    A part that is off is None.
+    """
 
     peers: Peers
     health_checker: HealthChecker
@@ -58,21 +61,21 @@
     duties: DutyPart | None = None
 
     def reload(self, fleet: FleetConfig, settings: Settings) -> None:
-        """Take up the peers that the files name now.
+        """Apply the fleet file and the settings as they are now.
 
-        ConfigError, with nothing changed, for what can change only with a restart.
+        Raises ConfigError, with nothing changed, if they differ in something that only a restart can change.
         """
         if fleet.number != int(self.peers.me[1:]) or fleet.listen != self.peers.listen:
-            raise ConfigError(f"{fleet.file}: number and listen can't change while the program runs")
+            raise ConfigError(f"{fleet.file}: number and listen can change only with a restart")
         leases = read_leases(fleet)
         budgets = read_checked_budgets(fleet, leases, settings)
         regions = read_regions(fleet, leases)
         self._check_parts_unchanged(fleet, budgets, regions)
         if leases is not None:
-            self._declare_members(fleet, leases)
+            self._change_declared_members(fleet, leases)
         self.peers.move(fleet.peers)
         if self.budgets is not None and budgets is not None and leases is not None:
-            self.budgets.reload(budgets, settings, leases.sets[-1], previous_members(leases))
+            self.budgets.reload(budgets, settings, leases.sets[-1], previous_member_count(leases))
         if self.regions is not None and regions is not None and leases is not None:
             self.regions.node.tuning = regions.tuning
             self.regions.node.timing = regions.timing
@@ -81,42 +84,46 @@
     def _check_parts_unchanged(
         self, fleet: FleetConfig, budgets: BudgetsConfig | None, regions: RegionsConfig | None
     ) -> None:
-        """ConfigError if budgets or regions differ in what can change only with a restart."""
+        """Raise ConfigError if budgets or regions differ in something that only a restart can change."""
         if (budgets is None) is not (self.budgets is None):
-            raise ConfigError(f"{fleet.file}: budgets can't be turned on or off while the program runs")
+            raise ConfigError(f"{fleet.file}: budgets can be turned on or off only with a restart")
         if self.budgets is not None and budgets is not None and budgets.fill_ms != self.budgets.plan.config.fill_ms:
-            # Proxies that hear of it at different times would count each other's fills for less than they last.
-            raise ConfigError(f"{fleet.file}: budgets: fill_ms can't change while the program runs")
+            # Proxies that apply the new value at different times would count each other's fills for less time than
+            # they last.
+            raise ConfigError(f"{fleet.file}: budgets: fill_ms can change only with a restart")
         if (regions is None) is not (self.regions is None):
-            raise ConfigError(f"{fleet.file}: regions can't be turned on or off while the program runs")
+            raise ConfigError(f"{fleet.file}: regions can be turned on or off only with a restart")
+
+    def _change_declared_members(self, fleet: FleetConfig, leases: LeasesConfig) -> None:
+        """Begin a change of the declared members if the fleet file names another number of them.
 
-    def _declare_members(self, fleet: FleetConfig, leases: LeasesConfig) -> None:
-        """Begin a change of the leases' declared set where the file names another one; ConfigError if it can't."""
+        Raises ConfigError if that is not possible now.
+        """
         if self.leases is None:
             return
         node = self.leases.node
         if leases.tuning.longest_ms > node.tuning.longest_ms or leases.tuning.drift > node.tuning.drift:
             raise ConfigError(
-                f"{fleet.file}: leases: longest_ms and drift can't rise while the program "
-                "runs: who restarts next would not keep quiet for long enough"
+                f"{fleet.file}: leases: longest_ms and drift can't be raised while the proxy runs: "
+                "the member that restarts next would not keep quiet for long enough"
             )
         if leases.sets[-1] == node.sets[-1]:
             return
         if max(len(proposer.sets) for proposer in node.proposers.values()) >= MOST_SETS:
-            raise ConfigError(f"{fleet.file}: {MOST_SETS} changes of the declared set are under way")
+            raise ConfigError(f"{fleet.file}: {MOST_SETS} changes of the declared members are under way already")
         node.declare(leases.sets[-1])
 
-    def pages(self) -> dict[str, Callable[[], Mapping[str, object]]]:
-        """The operators' pages of the parts that are on, by path."""
+    def operator_pages(self) -> dict[str, Callable[[], Mapping[str, object]]]:
+        """Return the functions that build the operators' pages of the parts that are on, by path."""
         parts = {"/leases": self.leases, "/budgets": self.budgets, "/regions": self.regions}
         return {path: part.state for path, part in parts.items() if part is not None}
 
-    def calls(self) -> dict[str, Callable[[Mapping[str, str]], Awaitable[tuple[int, str]]]]:
-        """The operators' commands to the parts that are on, by path."""
+    def operator_commands(self) -> dict[str, Callable[[Mapping[str, str]], Awaitable[tuple[int, str]]]]:
+        """Return the functions that execute the operators' commands to the parts that are on, by path."""
         regions = self.regions
         if regions is None:
             return {}
-        return {"/regions": lambda given: regions.execute_command(given, self.peers.say)}
+        return {"/regions": lambda parameters: regions.execute_command(parameters, self.peers.say)}
 
     async def start(self) -> None:
         """Open the peer socket and start the parts."""
@@ -124,7 +131,7 @@
         self.history.note("start")
 
     async def stop(self) -> None:
-        """Stop the parts, await their tasks, and close the peer socket and the history."""
+        """Stop the parts, wait for their tasks, and close the peer socket and the history."""
         self.peers.stop()
         if self.duties is not None:
             await self.duties.wait_closed()
@@ -133,28 +140,31 @@
 
 
 def declared_members(leases: LeasesConfig) -> tuple[str, ...]:
-    """The names of the declared members; while that changes, those of both sets."""
+    """Return the names of the declared members. During a change of the set, those of the old and the new set."""
     return tuple(member_name(n) for n in range(max(leases.sets)))
 
 
-def previous_members(leases: LeasesConfig) -> int:
-    """The size of the previous declared set while that changes; else 0."""
+def previous_member_count(leases: LeasesConfig) -> int:
+    """Return the number of members before a change of the declared set that is in progress; 0 if there is none."""
     return leases.sets[0] if len(leases.sets) > 1 else 0
 
 
 def read_checked_budgets(fleet: FleetConfig, leases: LeasesConfig | None, settings: Settings) -> BudgetsConfig | None:
-    """The settings of the budgets, checked against the number of proxies that share them; None where off."""
+    """Read the settings of the budgets, and check them against the number of proxies that share the budgets.
+
+    Returns None if budgets are off. Raises ConfigError if the settings are invalid.
+    """
     budgets = read_budgets(fleet, leases)
     if budgets is not None and leases is not None:
         check_floors(budgets, Plan(budgets, settings).smallest_floors(), max(leases.sets), fleet.file)
     return budgets
 
 
-_OWN_SETTINGS = ("me", "myZone")  # they tell which proxy it is
+_PER_PROXY_SETTINGS = ("me", "myZone")  # the settings that differ between the proxies of a fleet
 
 
 def settings_digest(config: Config) -> int:
-    """32 bits that tell whether two proxies go by the same settings (all but which proxy they are)."""
-    settings = config.contents.get("settings")
-    shared = {k: v for k, v in settings.items() if k not in _OWN_SETTINGS} if isinstance(settings, dict) else {}
-    return zlib.crc32(orjson.dumps(shared, option=orjson.OPT_SORT_KEYS))
+    """Return a 32-bit checksum of the settings that all proxies of a fleet should have in common."""
+    settings = config.file_contents.get("settings")
+    common = {k: v for k, v in settings.items() if k not in _PER_PROXY_SETTINGS} if isinstance(settings, dict) else {}
+    return zlib.crc32(orjson.dumps(common, option=orjson.OPT_SORT_KEYS))
--- a/beechslip/peering_builder.py
+++ b/beechslip/peering_builder.py
@@ -1,4 +1,4 @@
-"""Builds the parts that the fleet's file turns on, and the peer socket that they share."""
+"""Builds the parts that the fleet file turns on, and the peer socket that they share."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 from beechslip.leases.settings import LeasesConfig, read_leases
 from beechslip.leases.tasks import Drill, Task, TaskRunner
 from beechslip.peering import (
-    ListedHealthChecker,
+    NotifyingHealthChecker,
     Peering,
     declared_members,
-    previous_members,
+    previous_member_count,
     read_checked_budgets,
     settings_digest,
 )
@@ -46,13 +46,14 @@
 
 
 def _version() -> str:
+    """Return the version of the installed package; "source" if it runs from a checkout."""
     try:
         return metadata.version("beechslip")
     except metadata.PackageNotFoundError:
         return "source"
 
 
-def build(
+def build_peering(
     fleet: FleetConfig,
     config: Config,
     client: BackendClient,
@@ -60,16 +61,19 @@
     counters: Counters,
     post: Callable[[object], None],
 ) -> Peering:
-    """The parts that ``fleet`` turns on; ``post`` is the engine's queue. ConfigError where a table can't be used."""
+    """Build the parts that ``fleet`` turns on. ``post`` puts a message on the queue of the engine.
+
+    Raises ConfigError if a table of the fleet file is invalid.
+    """
     return _PeeringBuilder(fleet, config, client, clock, counters, post).build()
 
 
 class _PeeringBuilder:
     """Builds one ``Peering``.
 
-    Two numbers tell this process from earlier ones of the same proxy: to membership the start time in ms, so that
-    a restarted proxy is newer than anything said of its earlier incarnation (SWIM 4.2), and to all else an
-    incarnation that is drawn at random.
+    Two numbers distinguish this process from earlier processes of the same proxy. Membership uses the start time in
+    ms, so that a restarted proxy supersedes every report about its earlier incarnation (SWIM 4.2). All other parts
+    use an incarnation that is drawn at random.
     """
 
     def __init__(
@@ -90,12 +94,12 @@
         self._me = member_name(fleet.number)
         self._incarnation = secrets.randbits(63)
         self._history = History(fleet.history, self._me, self._incarnation, clock, counters)
-        self._health_checker: HealthChecker = client  # each part that takes part in health checks wraps it
+        self._health_checker: HealthChecker = client  # parts that are involved in health checks wrap it in turn
         self._parts: list[Part] = []
-        self._peering: Peering  # set by ``build``; parts ask it for what changes while it runs
+        self._peering: Peering  # set by ``build``; parts read from it what changes at run time
 
     def build(self) -> Peering:
-        """Build each part that is on, the later ones on the earlier ones."""
+        """Build the parts that are on, in the order of their dependencies."""
         fleet, settings = self._fleet, self._config.settings
         duties = read_duties(fleet)
         leases = read_leases(fleet)
@@ -131,17 +135,17 @@
         )
         return self._peering
 
-    def _other_members(self) -> Sequence[str]:
+    def _list_other_members(self) -> Sequence[str]:
         return self._peering.peers.others()
 
     def _version_and_digest(self) -> tuple[str, int]:
         return _version(), self._peering.settings_digest
 
     def _build_leases(self, leases: LeasesConfig, names: tuple[str, ...]) -> LeasePart:
-        """``names``: the leases of the other parts, which are wanted from the start on."""
+        """Build the leases part. ``names`` are the leases of other parts; they are wanted from the start."""
         census = None
         if leases.census_ms:
-            census = Census(self._me, self._other_members, self._version_and_digest, leases.census_ms)
+            census = Census(self._me, self._list_other_members, self._version_and_digest, leases.census_ms)
         tasks: list[Task] = [self._build_drill(leases, name) for name in leases.drills]
         if census is not None:
             tasks.append(census)
@@ -167,7 +171,7 @@
         return Drill(
             name,
             self._me,
-            self._other_members,
+            self._list_other_members,
             leases.drill_every_ms,
             leases.drill_act_ms,
             self._history.note,
@@ -182,13 +186,13 @@
             self._incarnation,
             self._clock.steady_ms(),
             leases.sets[-1],
-            previous_members(leases),
+            previous_member_count(leases),
             settings.proxies_in_zone,
             self._history.note,
         )
         part = BudgetPart(node, Plan(budgets, settings), self._clock, self._counters, self._post)
         part.trim = self._client.bound(part)
-        self._health_checker = ListedHealthChecker(BudgetedHealthChecker(self._client, part), part)
+        self._health_checker = NotifyingHealthChecker(BudgetedHealthChecker(self._client, part), part)
         self._parts.append(part)
         return part
 
@@ -208,7 +212,7 @@
         part = RegionPart(node, self._config.settings, self._clock, self._counters, self._post)
         if budgets is not None:
             part.warmup_exhausted = budgets.slow_start_full
-        self._health_checker = ListedHealthChecker(self._health_checker, part)
+        self._health_checker = NotifyingHealthChecker(self._health_checker, part)
         self._parts.append(part)
         return part
 
@@ -232,7 +236,7 @@
 
 
 def _lease_names(budgets: BudgetsConfig | None, regions: RegionsConfig | None) -> tuple[str, ...]:
-    """The leases that budgets and regions need."""
+    """Return the names of the leases that budgets and regions need."""
     names = []
     if budgets is not None:
         names.append(LEASE)
--- a/beechslip/platform/front.py
+++ b/beechslip/platform/front.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from beechslip.clock import Alarm, Clock
+from beechslip.clock import Clock, ScheduledCall
 from beechslip.config import Address
 from beechslip.core.messages import ClientDisconnected, RequestReceived
 from beechslip.core.model import AttemptExecutor, FinalResponse
@@ -86,8 +86,8 @@
         self._post = post
         self._counters = counters
         self._listener: Listener | None = None
-        self._sweep_alarm: Alarm | None = None
-        self._beat_alarm: Alarm | None = None
+        self._sweep_alarm: ScheduledCall | None = None
+        self._beat_alarm: ScheduledCall | None = None
         self._draining = False
         self._handing_over = False
         self._diverting_since_ms: float | None = None
--- a/beechslip/platform/ops.py
+++ b/beechslip/platform/ops.py
@@ -8,7 +8,7 @@
 import orjson
 from aiohttp import web
 
-from beechslip.clock import Alarm, Clock
+from beechslip.clock import Clock, ScheduledCall
 from beechslip.config import Address
 from beechslip.counters import Counters
 from beechslip.platform.server import BoundedServer
@@ -53,7 +53,7 @@
         self._counters = counters
         self._server = BoundedServer(self._handle, clock, counters, MAX_CONNECTIONS, READ_MS)
         self._listener: Listener | None = None
-        self._sweep_alarm: Alarm | None = None
+        self._sweep_alarm: ScheduledCall | None = None
         self.port = 0
 
     async def start(self, listen: Address) -> None:
--- a/beechslip/process.py
+++ b/beechslip/process.py
@@ -1,4 +1,4 @@
-"""The process of one proxy: its start, its signals, and its exit code."""
+"""The process of one proxy: its start, its signal handlers and its exit code."""
 
 from __future__ import annotations
 
@@ -19,60 +19,71 @@
 
 log = logging.getLogger("beechslip")
 
-# Almost nothing here is cyclic; looking for cycles after every 700 objects, the default, is CPU for nothing.
+# The proxy creates almost no reference cycles. The default, a search for them after every 700 new objects, would
+# waste CPU time.
 GC_THRESHOLD = (20_000, 20, 20)
-# What the system refuses for a moment (a file that can't be opened, a socket that can't be had) is tried again.
+# An operation of the start that the system refuses temporarily (a file can't be opened, no socket is available) is
+# tried again.
 START_RETRIES = 200
-START_RETRY_S = 0.05
-AGENT_VARIABLE = "BEECHSLIP_KEPT"  # set by an agent, which holds the other end of standard input
+START_RETRY_DELAY_S = 0.05
+AGENT_VARIABLE = "BEECHSLIP_KEPT"  # set by an agent, which keeps the other end of standard input open
 
 EXIT_CONFIG_ERROR = 2
 
-T = TypeVar("T")
+ResultT = TypeVar("ResultT")
 
 
 class _AgentPipe(asyncio.Protocol):
-    """Standard input as the agent's sign of life: its end is the agent's end."""
+    """Watches standard input, a pipe from the agent, whose end means that the agent process has ended."""
 
     def __init__(self, stopping: asyncio.Event) -> None:
         self._stopping = stopping
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop the proxy, as its agent has gone."""
+        """Stop the proxy, because its agent has ended."""
         self._stopping.set()
 
 
-def _retry(call: Callable[[], T], transient: type[Exception], retries: int = START_RETRIES) -> T:
-    """The call's result; made again while it fails for a moment."""
+def _call_with_retries(
+    function: Callable[[], ResultT], transient: type[Exception], retries: int = START_RETRIES
+) -> ResultT:
+    """Call ``function`` and return its result, with up to ``retries`` more calls after transient errors.
+
+    ``transient`` is the type of these errors; an OSError must also be in ``LOCAL_RESOURCE_ERRORS``.
+    """
     while True:
         try:
-            return call()
+            return function()
         except transient as error:
             if retries <= 0 or (isinstance(error, OSError) and error.errno not in LOCAL_RESOURCE_ERRORS):
                 raise
             retries -= 1
-            time.sleep(START_RETRY_S)
+            time.sleep(START_RETRY_DELAY_S)
 
 
 def _handle_signals(proxy: Proxy) -> None:
+    """Install the signal handlers on the running loop: stop, reload, and log the counters."""
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, proxy.stopping.set)
     loop.add_signal_handler(signal.SIGHUP, proxy.reload)
-    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("%s", proxy.counters.line()))
-    # __main__ blocked these while the program was loading: what came since then is handled now.
+    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("%s", proxy.counters.format_line()))
+    # __main__ blocked these while the program was loading. A signal that arrived since then is handled now.
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP, signal.SIGUSR1])
 
 
 def _block_signals() -> None:
-    """The loop removes its handlers as it closes: a signal that comes then would end the process by itself."""
+    """Block the signals, because the loop removes their handlers as it closes.
+
+    A signal that arrives after that would otherwise have its default effect and kill the process.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT])
 
 
-async def _run(config: Config) -> None:
+async def _run_proxy(config: Config) -> None:
     proxy = Proxy(config)
     if os.environ.get(AGENT_VARIABLE):
-        # Guards against a proxy that outlives its agent and holds the address against the next one's.
+        # A proxy that outlived its agent would keep the address that the proxy of the next agent needs.
         await asyncio.get_running_loop().connect_read_pipe(lambda: _AgentPipe(proxy.stopping), sys.stdin)
     _handle_signals(proxy)
     try:
@@ -82,20 +93,20 @@
 
 
 def main() -> int:
-    """Run one proxy as the environment describes it; returns the exit code."""
+    """Run one proxy, configured by environment variables, and return the exit code of the process."""
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(name)s %(message)s")
     try:
         log.setLevel(log_level(os.environ))
-        config = _retry(read_config, ConfigUnreadableError)
+        config = _call_with_retries(read_config, ConfigUnreadableError)
     except ConfigError as error:
         log.error("%s", error)
         return EXIT_CONFIG_ERROR
     gc.set_threshold(*GC_THRESHOLD)
-    gc.freeze()  # what was loaded at the start is never looked through again
+    gc.freeze()  # excludes the objects that were loaded at the start from garbage collection
     with contextlib.suppress(KeyboardInterrupt):
         try:
-            with asyncio.Runner(loop_factory=lambda: _retry(asyncio.new_event_loop, OSError)) as runner:
-                runner.run(_run(config))
+            with asyncio.Runner(loop_factory=lambda: _call_with_retries(asyncio.new_event_loop, OSError)) as runner:
+                runner.run(_run_proxy(config))
         except ConfigError as error:
             log.error("%s", error)
             return EXIT_CONFIG_ERROR
--- a/beechslip/proxy.py
+++ b/beechslip/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy: its parts put together, from the configuration to the last response."""
+"""One proxy: builds its parts from the configuration, runs them, and shuts them down."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from beechslip.clock import Clock, SystemClock
-from beechslip.config import RECORD_FILE, Config, ConfigError, read_enabled
+from beechslip.config import RECORD_FILE, Config, ConfigError, read_if_enabled
 from beechslip.core.engine import Engine
 from beechslip.core.messages import EndpointListUpdate, PurgeReceived, SettingsChanged
 from beechslip.counters import Counters
@@ -22,12 +22,13 @@
 from beechslip.platform.front import HttpFront
 from beechslip.platform.ops import OpsFront
 from beechslip.platform.watch_events import parse_known_events
-from beechslip.reload import ConfigReloader, fleet_file
+from beechslip.reload import ConfigReloader, fleet_file_path
 from beechslip.routing import Router
 from beechslip.shutdown import shut_down
 
 if TYPE_CHECKING:
-    # Imported only where the operators' files turn them on: protobuf, dnspython and drivers stay out.
+    # Imported at run time only if the operators' files turn these features on, because they need protobuf,
+    # dnspython or database drivers.
     from beechslip.dns.front import DnsFront
     from beechslip.peering import Peering
     from beechslip.store.sent_requests import StoredSentRequestLog
@@ -36,16 +37,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownEvents:
-    """The change log's events that the configuration file holds already."""
+class InitialUpdates:
+    """The updates from the change log events that the configuration file already contains."""
 
-    last: int  # the number of the last one
+    last_seq: int  # the sequence number of the last of these events
     updates: list[EndpointListUpdate | PurgeReceived]
 
 
 @dataclass(frozen=True, slots=True)
-class Components:
-    """The parts of one proxy, before any of them is started; None where one is off."""
+class ProxyParts:
+    """The parts of one proxy, as built and not yet started. An optional part that is off is None."""
 
     client: BackendClient
     engine: Engine
@@ -53,51 +54,51 @@
     ops: OpsFront
     dns: DnsFront | None
     peering: Peering | None
-    sent_log: StoredSentRequestLog | None
+    sent_request_log: StoredSentRequestLog | None
 
 
 class Proxy:
-    """Owns the parts; ``run`` starts them, serves until ``stopping`` is set, and closes them in turn."""
+    """One proxy. ``run`` starts its parts, serves until ``stopping`` is set, and closes the parts again."""
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
-        """``clock``: the system's, unless a test gives another."""
-        self.config = config  # as at the start; the one in force is the reloader's
+        """Prepare the proxy. ``clock`` is the system clock by default; tests pass another one."""
+        self.config = config  # as read at the start; the reloader holds the current one
         self.clock = clock or SystemClock()
         self.counters = Counters()
         self.stopping = asyncio.Event()
         self._reloader = ConfigReloader(config, self.clock, self.counters)
 
     def reload(self, environ: Mapping[str, str] | None = None) -> None:
-        """Read the configuration file again, as ``ConfigReloader.reload`` does."""
+        """Read the configuration file again; see ``ConfigReloader.reload``."""
         self._reloader.reload(environ)
 
     async def run(self) -> None:
-        """Serve until ``stopping`` is set, then shut down. ConfigError where the files can't be used.
+        """Serve until ``stopping`` is set, then shut down. Raises ConfigError if a configuration file is invalid.
 
-        All that was started is closed at the end, also where a part fails; that part's error is raised.
+        Everything that was started is closed at the end, even if a part fails. The error of that part is raised.
         """
-        components = self._build()
-        known = self._known_events()
-        self._listen_to_settings(components)
+        parts = self._build_parts()
+        initial_updates = self._read_initial_updates()
+        self._register_settings_listeners(parts)
         async with AsyncExitStack() as stack:
-            tasks = [asyncio.create_task(components.engine.run())]
-            self._close_at_end(stack, components, tasks)
-            await self._start(components, known, tasks)
-            if not await self._wait_for_endpoints(components.engine, tasks):
+            tasks = [asyncio.create_task(parts.engine.run())]
+            self._register_cleanup(stack, parts, tasks)
+            await self._start_parts(parts, initial_updates, tasks)
+            if not await self._wait_for_endpoints(parts.engine, tasks):
                 return
-            await self._serve(components, tasks)
+            await self._serve(parts, tasks)
 
     # Construction ---------------------------------------------------------------------------------
 
-    def _build(self) -> Components:
+    def _build_parts(self) -> ProxyParts:
         config = self.config
         settings = config.settings
-        client = BackendClient(settings, config.sockets, self.clock, self.counters)
-        sent_log = self._open_sent_log()
+        client = BackendClient(settings, config.max_sockets, self.clock, self.counters)
+        sent_request_log = self._open_sent_request_log()
         refuse_old(os.environ)
 
         def post(message: object) -> None:
-            engine.post(message)  # the engine is built after the parts that post to it
+            engine.post(message)  # ``engine`` is assigned below, after the parts that post to it
 
         peering = self._build_peering(client, post)
         engine = Engine(
@@ -108,31 +109,31 @@
             self.counters,
             None if peering is None else peering.budgets,
             None if peering is None else peering.regions,
-            sent_log,
+            sent_request_log,
         )
-        front = HttpFront(settings, self.clock, client, engine.post, self.counters, config.sockets)
+        front = HttpFront(settings, self.clock, client, engine.post, self.counters, config.max_sockets)
         ops = self._build_ops(front, peering)
         dns = self._build_dns(engine, front)
-        return Components(client, engine, front, ops, dns, peering, sent_log)
+        return ProxyParts(client, engine, front, ops, dns, peering, sent_request_log)
 
-    def _open_sent_log(self) -> StoredSentRequestLog | None:
-        """The log of sent requests, where the operators' file names a store for it; off in deploy/record.toml."""
-        named = os.environ.get("EDGE_RECORD")
-        path = Path(named) if named else RECORD_FILE
-        if read_enabled(path) is None:
+    def _open_sent_request_log(self) -> StoredSentRequestLog | None:
+        """Open the sent-request log if the operators' file turns it on; it is off in deploy/record.toml."""
+        path_name = os.environ.get("EDGE_RECORD")
+        path = Path(path_name) if path_name else RECORD_FILE
+        if read_if_enabled(path) is None:
             return None
         from beechslip.store.sent_requests import open_sent_request_log
 
         return open_sent_request_log(path, self.clock, self.counters)
 
     def _build_peering(self, client: BackendClient, post: Callable[[object], None]) -> Peering | None:
-        """What proxies do together (docs/ops/fleet.md); off in deploy/fleet.toml on the platform."""
-        fleet = read_fleet(fleet_file(), self.config)
+        """Build the features that proxies share (docs/ops/fleet.md); off on the platform in deploy/fleet.toml."""
+        fleet = read_fleet(fleet_file_path(), self.config)
         if fleet is None:
             return None
-        from beechslip.peering_builder import build
+        from beechslip.peering_builder import build_peering
 
-        return build(fleet, self.config, client, self.clock, self.counters, post)
+        return build_peering(fleet, self.config, client, self.clock, self.counters, post)
 
     def _build_ops(self, front: HttpFront, peering: Peering | None) -> OpsFront:
         def drain() -> bool:
@@ -143,11 +144,13 @@
             front.readmit_clients()
             return True
 
-        pages: dict[str, Callable[[], Mapping[str, object]]] = {"/counters": self.counters.all}
+        operator_pages: dict[str, Callable[[], Mapping[str, object]]] = {"/counters": self.counters.counts}
         if peering is not None:
-            pages |= peering.pages()
-        calls = None if peering is None else peering.calls()
-        return OpsFront(self.clock, self.counters, lambda: front.ready, drain, activate, pages, calls)
+            operator_pages |= peering.operator_pages()
+        operator_commands = None if peering is None else peering.operator_commands()
+        return OpsFront(
+            self.clock, self.counters, lambda: front.ready, drain, activate, operator_pages, operator_commands
+        )
 
     def _build_dns(self, engine: Engine, front: HttpFront) -> DnsFront | None:
         if self.config.dns is None:
@@ -155,101 +158,111 @@
         from beechslip.dns.front import DnsFront
 
         def may_answer() -> bool:
-            # A draining proxy hands out no backend either: its resolvers go to another proxy.
+            # While it is draining, the proxy gives resolvers no backends either, so that they use another proxy.
             return engine.listed.is_set() and not front.diverting
 
         return DnsFront(self.config.dns, self.config.settings, self.clock, may_answer, engine.post, self.counters)
 
-    def _known_events(self) -> KnownEvents:
-        """The events in the configuration file, up to the first that can't be read.
+    def _read_initial_updates(self) -> InitialUpdates:
+        """Read the change log events in the configuration file, up to the first that can't be read.
 
-        Guards against a start that fails for one event: the change log is asked for what follows the last one
-        read. ConfigError where there is no change log.
+        One unreadable event must not prevent the start: the change log is asked for all events after the last one
+        that was read. Raises ConfigError if an event can't be read and no change log is configured.
         """
-        last, updates, unreadable = parse_known_events(self.config.known)
-        if unreadable:
-            if self.config.changelog is None:
-                raise ConfigError(f"known: {unreadable}")
+        last_seq, updates, error_text = parse_known_events(self.config.known_events)
+        if error_text:
+            if self.config.changelog_address is None:
+                raise ConfigError(f"invalid event in 'known', and no change log is configured: {error_text}")
             self.counters.add("changelog.unreadable")
-            log.warning("known after %d can't be read, the change log is asked: %s", last, unreadable)
-        return KnownEvents(last, updates)
-
-    def _listen_to_settings(self, components: Components) -> None:
-        """Bring new settings to the parts that go by them, in this order."""
-        engine, peering = components.engine, components.peering
+            log.warning(
+                "unreadable event in 'known' after %d, requesting it from the change log: %s", last_seq, error_text
+            )
+        return InitialUpdates(last_seq, updates)
+
+    def _register_settings_listeners(self, parts: ProxyParts) -> None:
+        """Have the reloader pass new settings to the parts that use them, in this order."""
+        engine, peering = parts.engine, parts.peering
         listeners = self._reloader.listeners
         self._reloader.peering = peering
-        if components.dns is not None:
-            listeners.append(components.dns.retune)
+        if parts.dns is not None:
+            listeners.append(parts.dns.retune)
         if peering is not None and peering.budgets is not None:
             listeners.append(peering.budgets.retune)
         if peering is not None and peering.regions is not None:
             listeners.append(peering.regions.retune)
-        listeners.append(components.client.retune)
-        listeners.append(components.front.retune)
+        listeners.append(parts.client.retune)
+        listeners.append(parts.front.retune)
         listeners.append(lambda settings: engine.post(SettingsChanged(settings)))
 
     # Running --------------------------------------------------------------------------------------
 
-    def _close_at_end(self, stack: AsyncExitStack, components: Components, tasks: list[asyncio.Task[None]]) -> None:
-        """Have the stack close everything: the last entry first, so that the fronts go before what they use."""
-        stack.callback(lambda: log.info("%s", self.counters.line()))
-        if components.sent_log is not None:
-            stack.callback(components.sent_log.close)
-        stack.push_async_callback(components.client.close)
-        stack.push_async_callback(_cancel, tasks)
-        if components.peering is not None:
-            stack.push_async_callback(components.peering.stop)
-        if components.dns is not None:
-            stack.push_async_callback(components.dns.close)
-        stack.push_async_callback(components.ops.close)
-        stack.push_async_callback(components.front.close)
-
-    async def _start(self, components: Components, known: KnownEvents, tasks: list[asyncio.Task[None]]) -> None:
-        """Start all but the HTTP front; the change log's reader joins ``tasks``."""
-        if self.config.ops is not None:
-            await components.ops.start(self.config.ops)  # before all else: a call has an answer from the start on
-        if components.dns is not None:
-            await components.dns.start()
-        if components.peering is not None:
-            await components.peering.start()
-        for update in known.updates:
-            components.engine.post(update)
-        if self.config.changelog is not None:
-            tasks.append(asyncio.create_task(self._change_log(components.engine, known).run()))
-
-    def _change_log(self, engine: Engine, known: KnownEvents) -> ChangeLog:
-        """The reader of the change log, at the address in force: SIGHUP may have named another one by now."""
-        address = self._reloader.config.changelog or self.config.changelog
+    def _register_cleanup(self, stack: AsyncExitStack, parts: ProxyParts, tasks: list[asyncio.Task[None]]) -> None:
+        """Register the closing of all parts.
+
+        The stack calls the last entry first, so that the fronts close before the parts that they use.
+        """
+        stack.callback(lambda: log.info("%s", self.counters.format_line()))
+        if parts.sent_request_log is not None:
+            stack.callback(parts.sent_request_log.close)
+        stack.push_async_callback(parts.client.close)
+        stack.push_async_callback(_cancel_tasks, tasks)
+        if parts.peering is not None:
+            stack.push_async_callback(parts.peering.stop)
+        if parts.dns is not None:
+            stack.push_async_callback(parts.dns.close)
+        stack.push_async_callback(parts.ops.close)
+        stack.push_async_callback(parts.front.close)
+
+    async def _start_parts(
+        self, parts: ProxyParts, initial_updates: InitialUpdates, tasks: list[asyncio.Task[None]]
+    ) -> None:
+        """Start all parts but the HTTP front, and add the change log reader to ``tasks``."""
+        if self.config.ops_address is not None:
+            # This comes first, so that operators' requests are answered from the start.
+            await parts.ops.start(self.config.ops_address)
+        if parts.dns is not None:
+            await parts.dns.start()
+        if parts.peering is not None:
+            await parts.peering.start()
+        for update in initial_updates.updates:
+            parts.engine.post(update)
+        if self.config.changelog_address is not None:
+            tasks.append(asyncio.create_task(self._build_change_log_reader(parts.engine, initial_updates).run()))
+
+    def _build_change_log_reader(self, engine: Engine, initial_updates: InitialUpdates) -> ChangeLog:
+        """Build the change log reader. A SIGHUP since the start may have changed the address."""
+        address = self._reloader.config.changelog_address or self.config.changelog_address
         assert address is not None
         drain_grace_s = self._reloader.settings.drain_grace
-        change_log = ChangeLog(address, known.last, engine.post, self.counters, known.updates, drain_grace_s)
+        change_log = ChangeLog(
+            address, initial_updates.last_seq, engine.post, self.counters, initial_updates.updates, drain_grace_s
+        )
         self._reloader.change_log = change_log
         self._reloader.listeners.append(change_log.retune)
         return change_log
 
     async def _wait_for_endpoints(self, engine: Engine, tasks: Sequence[asyncio.Task[None]]) -> bool:
-        """Wait for the endpoint list; False where the proxy is to stop before that.
+        """Wait for the endpoint list. Returns False if the proxy is to stop before the list is known.
 
-        The list is known before /health answers, or the first requests would find no backend.
+        /health must not answer before the list is known, or the first requests would find no backend.
         """
         listed = asyncio.create_task(engine.listed.wait())
         try:
             await self._run_until_stopping([*tasks, listed])
         finally:
-            await _cancel([listed])
+            await _cancel_tasks([listed])
         if self.stopping.is_set():
             log.info("%s, process %d, is shutting down before it serves", self.config.name, os.getpid())
             return False
         return True
 
-    async def _serve(self, components: Components, tasks: Sequence[asyncio.Task[None]]) -> None:
-        """Serve clients until the proxy is to stop, and shut down gracefully."""
-        config, engine, front = self.config, components.engine, components.front
+    async def _serve(self, parts: ProxyParts, tasks: Sequence[asyncio.Task[None]]) -> None:
+        """Serve clients until the proxy is to stop, then shut down gracefully."""
+        config, engine, front = self.config, parts.engine, parts.front
         settings = self._reloader.settings
-        if components.peering is not None and components.peering.budgets is not None:
-            await components.peering.budgets.ready()
-        await front.start(config.listen, config.fd)
+        if parts.peering is not None and parts.peering.budgets is not None:
+            await parts.peering.budgets.ready()
+        await front.start(config.listen, config.listening_fd)
         log.info(
             "%s, process %d, listens on %s; %d proxies, longest deadline %g s",
             config.name,
@@ -260,24 +273,24 @@
         )
         await self._run_until_stopping(tasks)
         log.info("%s, process %d, is shutting down", config.name, os.getpid())
-        if config.fd is not None:
+        if config.listening_fd is not None:
             front.hand_over()
         await shut_down(engine, front, self._reloader.settings)
         log.info("%s, process %d, has answered all requests, and exits", config.name, os.getpid())
 
     async def _run_until_stopping(self, tasks: Sequence[asyncio.Task[Any]]) -> None:
-        """Wait until ``stopping`` is set or one of the tasks ends; if that failed, its error is raised."""
-        stop = asyncio.create_task(self.stopping.wait())
+        """Wait until ``stopping`` is set or one of the tasks ends. The error of a task that failed is raised."""
+        stop_waiter = asyncio.create_task(self.stopping.wait())
         try:
-            done, _ = await asyncio.wait([stop, *tasks], return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait([stop_waiter, *tasks], return_when=asyncio.FIRST_COMPLETED)
         finally:
-            await _cancel([stop])
-        for task in done - {stop}:
+            await _cancel_tasks([stop_waiter])
+        for task in done - {stop_waiter}:
             task.result()
 
 
-async def _cancel(tasks: Sequence[asyncio.Task[Any]]) -> None:
-    """Cancel the tasks, the last one first, and wait for their end."""
+async def _cancel_tasks(tasks: Sequence[asyncio.Task[Any]]) -> None:
+    """Cancel the tasks, the last one first, and wait until they have ended."""
     for task in reversed(tasks):
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/beechslip/reload.py
+++ b/beechslip/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration file read again, and new settings taken up while the proxy serves."""
+"""Reload on SIGHUP: reads the configuration file again, and applies new settings while the proxy serves."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from beechslip.clock import Alarm, Clock
+from beechslip.clock import Clock, ScheduledCall
 from beechslip.config import Config, ConfigError, ConfigUnreadableError, reread_config
 from beechslip.core.settings_transition import TRANSITION_MS, stricter_of_both
 from beechslip.counters import Counters
@@ -17,94 +17,97 @@
 from beechslip.routing.interface import Settings
 
 if TYPE_CHECKING:
-    from beechslip.peering import Peering  # imported only where the fleet's file is on: protobuf stays out
+    from beechslip.peering import Peering  # at run time only if the fleet file is on, because it needs protobuf
 
 log = logging.getLogger("beechslip")
 
-# What the system refuses for a moment, such as a file that can't be opened, is tried again.
-RETRY_MS = 50.0
-RELOAD_ATTEMPTS = 40
+# An operation that the system refuses temporarily, such as opening a file, is tried again.
+RELOAD_RETRY_DELAY_MS = 50.0
+MAX_RELOAD_RETRIES = 40
 
 
-def fleet_file(environ: Mapping[str, str] = os.environ) -> Path:
-    """The file of what proxies do together: the one that EDGE_FLEET names, or the one in ``deploy/``."""
-    named = environ.get("EDGE_FLEET")
-    return Path(named) if named else FLEET_FILE
+def fleet_file_path(environ: Mapping[str, str] = os.environ) -> Path:
+    """Return the path of the fleet file: the one that EDGE_FLEET names, or the one in ``deploy/``."""
+    path_name = environ.get("EDGE_FLEET")
+    return Path(path_name) if path_name else FLEET_FILE
 
 
 class ConfigReloader:
-    """Holds the configuration in force, and brings new settings to the parts that go by them.
+    """Holds the current configuration, and passes new settings to the parts that use them.
 
-    Counts ``reloads`` and ``reloads.refused``.
+    Counts reloads in ``reloads``, and rejected configurations in ``reloads.refused``.
     """
 
     def __init__(self, config: Config, clock: Clock, counters: Counters) -> None:
         """Start from the configuration that the process was started with."""
         self.config = config
-        self.settings = config.settings  # those in force: old and new ones at once during a transition
-        self.listeners: list[Callable[[Settings], None]] = []  # called with the settings in force, at each change
-        self.change_log: ChangeLog | None = None  # follows the address that the file names
+        self.settings = config.settings  # the current ones; during a transition, old and new combined
+        self.listeners: list[Callable[[Settings], None]] = []  # called at each change, with the current settings
+        self.change_log: ChangeLog | None = None  # reconnects if the file names another address
         self.peering: Peering | None = None
         self._clock = clock
         self._counters = counters
-        self._transition: Alarm | None = None  # its end
+        self._transition_end: ScheduledCall | None = None
 
-    def reload(self, environ: Mapping[str, str] | None = None, retries: int = RELOAD_ATTEMPTS) -> None:
-        """Read the configuration file again: follow the change log where it is now, go by the new settings.
+    def reload(self, environ: Mapping[str, str] | None = None, retries: int = MAX_RELOAD_RETRIES) -> None:
+        """Read the configuration file again, and apply its settings, its peers and its change log address.
 
-        Guards against an end by SIGHUP, which kills a program that has no handler for it. All else that the
-        file says holds from the next start on; one that can't be used leaves everything as it was.
+        This handles SIGHUP, which would kill a program that has no handler for it. All other values in the file apply
+        from the next start on. A file that is invalid changes nothing. A file that can't be read at the moment is
+        tried again up to ``retries`` times.
         """
         try:
             config = reread_config(self.config, environ)
             self._reload_peers(config)
         except ConfigUnreadableError as error:
             if retries > 0:
-                log.warning("the new configuration can't be read yet: %s", error)
-                self._clock.call_later(RETRY_MS, lambda: self.reload(environ, retries - 1))
+                log.warning("new configuration not readable, will retry: %s", error)
+                self._clock.call_later(RELOAD_RETRY_DELAY_MS, lambda: self.reload(environ, retries - 1))
                 return
-            self._reject(error)
+            self._reject_config(error)
             return
         except ConfigError as error:
-            self._reject(error)
+            self._reject_config(error)
             return
         self._counters.add("reloads")
         self.config = config
         self._change_settings(config.settings)
-        if self.change_log is not None and config.changelog is not None:
-            self.change_log.set_address(config.changelog)
-            log.info("the change log is at %s, read up to %d", config.changelog, self.change_log.last)
+        if self.change_log is not None and config.changelog_address is not None:
+            self.change_log.set_address(config.changelog_address)
+            log.info("change log address set: address=%s last_seq=%d", config.changelog_address, self.change_log.last)
 
-    def _reject(self, error: ConfigError) -> None:
+    def _reject_config(self, error: ConfigError) -> None:
         self._counters.add("reloads.refused")
-        log.error("the new configuration is not used: %s", error)
+        log.error("new configuration rejected: %s", error)
 
     def _reload_peers(self, config: Config) -> None:
-        """Take up the peers that the configuration and the fleet's file name now.
+        """Apply the peers that the configuration and the fleet file name now.
 
-        Raises ConfigError, with nothing changed, where that needs a restart.
+        Raises ConfigError, with nothing changed, if that needs a restart.
         """
         if self.peering is None:
             return
-        fleet = read_fleet(fleet_file(), config)
+        fleet = read_fleet(fleet_file_path(), config)
         if fleet is None:
-            raise ConfigError("the fleet's file is off now: what it turned on ends with a restart only")
+            raise ConfigError(
+                "the fleet file is now absent or off: its features can be turned off only with a restart"
+            )
         from beechslip.peering import settings_digest
 
         self.peering.reload(fleet, config.settings)
         self.peering.settings_digest = settings_digest(config)
 
     def _change_settings(self, settings: Settings) -> None:
-        """Go by old and new settings at once, and by the new ones alone once clients do."""
-        if self._transition is not None:
-            self._transition.cancel()
+        """Apply the stricter of old and new settings first, and the new ones alone once clients use them too."""
+        if self._transition_end is not None:
+            self._transition_end.cancel()
         if settings == self.settings:
             return
-        log.info("settings: classes %s, attempts %d", " ".join(settings.classes), settings.max_attempts)
-        self._apply(stricter_of_both(self.settings, settings))
-        self._transition = self._clock.call_later(TRANSITION_MS, lambda: self._apply(settings))
+        log.info("settings changed: classes=%s max_attempts=%d", " ".join(settings.classes), settings.max_attempts)
+        self._apply_settings(stricter_of_both(self.settings, settings))
+        self._transition_end = self._clock.call_later(TRANSITION_MS, lambda: self._apply_settings(settings))
 
-    def _apply(self, settings: Settings) -> None:
+    def _apply_settings(self, settings: Settings) -> None:
         self.settings = settings
         for listener in self.listeners:
             listener(settings)
--- a/beechslip/shutdown.py
+++ b/beechslip/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: what is still answered after SIGTERM, and until when."""
+"""Graceful shutdown: how long after SIGTERM the proxy still accepts and answers requests."""
 
 from __future__ import annotations
 
@@ -12,39 +12,45 @@
 
 log = logging.getLogger("beechslip")
 
-# After SIGTERM new connections keep coming for up to 0.4 s and requests on open ones for 0.2 s more; some clients go
-# on to the end.
-LINGER_S = 0.65
-# SIGKILL may come the longest deadline, counted as 3 s at the most, and 0.7 s after SIGTERM, and what came more than
-# 0.7 s after SIGTERM must be answered by then.
+# After SIGTERM new connections arrive for up to 0.4 s, and requests on open connections for another 0.2 s. Some
+# clients send requests until the process ends.
+SERVE_AFTER_SIGTERM_S = 0.65
+# SIGKILL may follow SIGTERM after the longest deadline of a class, counted as at most 3 s, plus 0.7 s. Requests that
+# arrived more than 0.7 s after SIGTERM must be answered by then, too.
 MAX_COUNTED_DEADLINE_S = 3.0
-KILL_AFTER_S = 0.7
-FINAL_RESPONSES_S = 0.15  # this long before SIGKILL all that is open is ended
-FINAL_BYTES_S = 0.05  # this long before SIGKILL all is written
+KILL_MARGIN_S = 0.7
+END_REQUESTS_BEFORE_KILL_S = 0.15  # how long before SIGKILL the open requests are ended
+END_WRITES_BEFORE_KILL_S = 0.05  # how long before SIGKILL all responses are written
 
 
-def grace_s(settings: Settings) -> float:
-    """How long after SIGTERM the process may go on, by the settings in force."""
+def kill_delay_s(settings: Settings) -> float:
+    """Return the time from SIGTERM to the earliest possible SIGKILL, in seconds."""
     longest_s = max((rule.deadline for rule in settings.classes.values()), default=MAX_COUNTED_DEADLINE_S)
-    return min(longest_s or MAX_COUNTED_DEADLINE_S, MAX_COUNTED_DEADLINE_S) + KILL_AFTER_S
+    return min(longest_s or MAX_COUNTED_DEADLINE_S, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
 
 
 async def shut_down(engine: Engine, front: HttpFront, settings: Settings) -> None:
-    """Go on serving for ``LINGER_S``, then take nothing new and answer all that was taken before SIGKILL may come."""
-    kill_s = asyncio.get_running_loop().time() + grace_s(settings)
-    await asyncio.sleep(LINGER_S)
+    """Serve for another ``SERVE_AFTER_SIGTERM_S``, then refuse new requests and answer the open ones before SIGKILL.
+
+    ``settings``: the current ones, whose longest deadline decides when SIGKILL may come.
+    """
+    kill_time_s = asyncio.get_running_loop().time() + kill_delay_s(settings)
+    await asyncio.sleep(SERVE_AFTER_SIGTERM_S)
     front.drain()
-    await _answer_all(engine, front, kill_s)
+    await _answer_all(engine, front, kill_time_s)
+
 
+async def _answer_all(engine: Engine, front: HttpFront, kill_time_s: float) -> None:
+    """Wait until all requests are answered and all responses written.
 
-async def _answer_all(engine: Engine, front: HttpFront, kill_s: float) -> None:
-    """Wait until all is answered and written; ``kill_s``: loop time at which SIGKILL may come."""
+    ``kill_time_s`` is the time of the event loop at which SIGKILL may come.
+    """
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout_at(kill_s - FINAL_RESPONSES_S):
+        async with asyncio.timeout_at(kill_time_s - END_REQUESTS_BEFORE_KILL_S):
             await engine.quiet.wait()
     except TimeoutError:
-        log.info("some requests are open still: they are ended before SIGKILL may come")
+        log.info("requests still open shortly before SIGKILL may come: ending them")
         engine.post(Shutdown())
         await engine.quiet.wait()
-    await front.settle(max(kill_s - FINAL_BYTES_S - loop.time(), FINAL_BYTES_S) * 1000.0)
+    await front.settle(max(kill_time_s - END_WRITES_BEFORE_KILL_S - loop.time(), END_WRITES_BEFORE_KILL_S) * 1000.0)
--- a/beechslip/store/sent_requests.py
+++ b/beechslip/store/sent_requests.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from beechslip.clock import Clock
-from beechslip.config import ConfigError, read_enabled
+from beechslip.config import ConfigError, read_if_enabled
 from beechslip.core.services import PreviousSend
 from beechslip.counters import Counters
 from beechslip.fleet.settings import Table
@@ -69,7 +69,7 @@
 
 def read_sent_request_config(path: Path) -> SentRequestConfig | None:
     """The operators' file; ``None`` where it is absent or not ``enabled``; ConfigError names a wrong key."""
-    values = read_enabled(path)
+    values = read_if_enabled(path)
     if values is None:
         return None
     table = Table(path.name, values, ("enabled", "store", "wait_ms", "keep_s"))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several tests share: a store of each kind. Known failures are passed over, and printed."""
+"""Shared fixtures, which provide a store of each kind, and the hook that marks the known failures."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 import pytest
 
 from beechslip.store import Store, open_store
-from tests.known_red import KnownFailure, read, without_group
+from tests.known_red import KnownFailure, read_known_failures, without_xdist_group
 from tests.pg_stand import PgStand
 
 
 def mark_known_failures(items: list[pytest.Item], known: Mapping[str, KnownFailure]) -> None:
-    """Have exactly the listed tests pass over a failure, and pytest print them (``-rxX``)."""
+    """Mark exactly the listed tests as expected failures, which pytest lists with ``-rxX``."""
     for item in items:
-        failure = known.get(without_group(item.nodeid))
+        failure = known.get(without_xdist_group(item.nodeid))
         if failure is not None:
             reason = f"KNOWN-RED: {failure.seen} ({failure.command}; issue {failure.issue})"
             item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    mark_known_failures(items, read())
+    mark_known_failures(items, read_known_failures())
 
 
 @pytest.fixture(params=["sqlite", "postgresql"])
 def url(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[str]:
+    """Provide the URL of an empty store, once for each kind of store."""
     if request.param == "sqlite":
         yield f"sqlite:///{tmp_path}/store.db"
         return
@@ -37,6 +38,7 @@
 
 @pytest.fixture
 def store(url: str) -> Iterator[Store]:
+    """Provide an open store of each kind."""
     opened = open_store(url)
     yield opened
     opened.close()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small stage for the module: settings, a list, and a stand-in for the world's answers."""
+"""Helpers for tests of the router: settings, an endpoint list, and a driver that simulates clients and backends."""
 
 from __future__ import annotations
 
@@ -64,16 +64,19 @@
 ORIGIN = "o:80"
 
 
-def entries(**changes: dict[str, Any]) -> tuple[i.Endpoint, ...]:
-    """Four caches, two parents, one origin; a change is keyed by the backend's name without its port."""
+def make_endpoints(**changes: dict[str, Any]) -> tuple[i.Endpoint, ...]:
+    """Return four caches of the proxy's zone, two parents, a cache of another zone and the origin.
+
+    ``changes`` replaces fields of an endpoint; its key is the name of the backend without the port.
+    """
     plain = [i.Endpoint(c, "small", "east") for c in CACHES]
     plain += [i.Endpoint(p, "parent", "hub") for p in PARENTS]
     plain += [i.Endpoint("far:80", "small", "west"), i.Endpoint(ORIGIN, "origin", "hub")]
     return tuple(replace(e, **changes.get(e.backend.split(":")[0], {})) for e in plain)
 
 
-class Stage:
-    """Drives one router and remembers every action and every attempt still out."""
+class RouterDriver:
+    """Passes events to one router, and records its actions, its timers and the attempts in flight."""
 
     def __init__(self, settings: i.Settings = SETTINGS, now: float = 1000.0, listed: Any = None) -> None:
         self.router, self.now = Router(settings, 7), now
@@ -82,10 +85,11 @@
         self.in_flight: dict[tuple[str, int], i.Attempt] = {}
         self.sent_times: dict[tuple[str, int], float] = {}
         self.timers: list[tuple[float, int]] = []
-        self.count = 0
-        self.give(i.EndpointList("all", entries() if listed is None else listed))
+        self.request_count = 0
+        self.handle_event(i.EndpointList("all", make_endpoints() if listed is None else listed))
 
-    def give(self, event: i.Event) -> list[i.Action]:
+    def handle_event(self, event: i.Event) -> list[i.Action]:
+        """Pass an event to the router and return its actions; attempts and timers among them are recorded."""
         new = self.router.handle(self.now, event)
         for action in new:
             if isinstance(action, i.Attempt):
@@ -108,12 +112,19 @@
         size: float = 400.0,
         name: str = "",
     ) -> list[i.Action]:
-        self.count += 1
-        return self.give(i.Request(name or f"r{self.count}", rule, obj, part, group, size, left))
+        """Send a client request with ``left`` seconds until its deadline, and return the router's actions."""
+        self.request_count += 1
+        return self.handle_event(i.Request(name or f"r{self.request_count}", rule, obj, part, group, size, left))
+
+    def finish_attempt(
+        self, key: tuple[str, int], result: str, note: str = "", finished: bool = False
+    ) -> list[i.Action]:
+        """End an attempt in flight with ``result``, and return the router's actions.
 
-    def end(self, key: tuple[str, int], result: str, note: str = "", finished: bool = False) -> list[i.Action]:
+        ``key`` is the request's id and the number of the attempt.
+        """
         attempt = self.in_flight.pop(key)
-        return self.give(
+        return self.handle_event(
             i.Outcome(
                 key[0],
                 key[1],
@@ -125,71 +136,79 @@
             )
         )
 
-    def wait(self, seconds: float) -> list[i.Action]:
-        """Let time pass, with the timers that come due on the way."""
+    def advance_time(self, seconds: float) -> list[i.Action]:
+        """Advance the time by ``seconds``, and deliver each timer that becomes due. Returns the resulting actions."""
         until, new = self.now + seconds, list[i.Action]()
         while due := [t for t in self.timers if t[0] <= until]:
             timer = min(due)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            new += self.give(i.Timer(timer[1]))
+            new += self.handle_event(i.Timer(timer[1]))
         self.now = until
         return new
 
     def warm_up(self, seconds: float = 6.0) -> None:
-        """Ordinary traffic that is answered at once, so that capacity is known."""
+        """Send 20 requests per second that are answered after 50 ms each, so that the router learns capacities."""
         for n in range(int(seconds * 20)):
             self.ask(f"/w{n}")
             for key in list(self.in_flight):
                 self.now += 0.05
-                self.end(key, "ok", "filled")
+                self.finish_attempt(key, "ok", "filled")
 
 
 def attempts(actions: list[i.Action]) -> list[i.Attempt]:
     return [a for a in actions if isinstance(a, i.Attempt)]
 
 
-def finals(actions: list[i.Action]) -> list[i.Action]:
+def final_actions(actions: list[i.Action]) -> list[i.Action]:
+    """Return the actions that reject a request or fail it."""
     return [a for a in actions if isinstance(a, (i.Refuse, i.Fail))]
 
 
-def home_of(stage: Stage, obj: str) -> str:
-    issued = attempts(stage.ask(obj))[0]
-    return issued.backend
+def first_backend_tried(driver: RouterDriver, obj: str) -> str:
+    """Send a request for ``obj`` and return the backend of its first attempt."""
+    sent = attempts(driver.ask(obj))[0]
+    return sent.backend
 
 
-def fills_until_ejected(stage: Stage, bad: set[str], most: int = 90) -> dict[str, int]:
-    """Two of three requests are hits; for each parent ejected, how many fills it had spoilt by then."""
-    spoilt, out = Counter[str](), dict[str, int]()
-    for n in range(most):
-        stage.now += 0.09  # as one of forty proxies, with a dozen requests a second
-        stage.ask(f"/s{n}", size=40.0)
-        while stage.in_flight:
-            key, attempt = next(iter(stage.in_flight.items()))
-            fails = attempt.source in bad and n % 3 == 0
-            spoilt[attempt.source] += fails
-            stage.now += 0.02
-            stage.end(key, *(("error",) if fails else ("ok", "hit" if n % 3 else "filled")))
+def fills_until_ejected(driver: RouterDriver, failing_parents: set[str], request_count: int = 90) -> dict[str, int]:
+    """Return, by ejected parent, how many fills had failed when it was ejected.
+
+    Two of three requests are hits. The third needs a fill, which fails if its parent is in ``failing_parents``.
+    """
+    failed_fills, at_ejection = Counter[str](), dict[str, int]()
+    for n in range(request_count):
+        driver.now += 0.09  # the load of one of forty proxies: about a dozen requests per second
+        driver.ask(f"/s{n}", size=40.0)
+        while driver.in_flight:
+            key, attempt = next(iter(driver.in_flight.items()))
+            is_failing = attempt.source in failing_parents and n % 3 == 0
+            failed_fills[attempt.source] += is_failing
+            driver.now += 0.02
+            driver.finish_attempt(key, *(("error",) if is_failing else ("ok", "hit" if n % 3 else "filled")))
         for p in PARENTS:
-            if stage.router.endpoints.backends[p].ejected:
-                out.setdefault(p, spoilt[p])
-    return out
+            if driver.router.endpoints.backends[p].ejected:
+                at_ejection.setdefault(p, failed_fills[p])
+    return at_ejection
+
 
+HIT_NOTES_SETTINGS = replace(SETTINGS, tells="hit", can_health_check=False)
 
-HITS_NOTED = replace(SETTINGS, tells="hit", can_health_check=False)
 
+def answer_requests(driver: RouterDriver, failing_caches: set[str], request_count: int) -> int:
+    """Answer ``request_count`` requests, and return the number of attempts to the caches in ``failing_caches``.
 
-def answer_all(stage: Stage, erring: set[str], count: int) -> int:
-    """Requests answered at once, with an error wherever a cache errs; how many went to one of these."""
-    met = 0
-    for n in range(count):
-        stage.now += 0.02
-        stage.ask(f"/e{n}")
-        while stage.in_flight:
-            key, attempt = next(iter(stage.in_flight.items()))
-            met += attempt.backend in erring
-            stage.end(key, "error" if attempt.backend in erring else "ok")
-    return met
+    Attempts to these caches end with an error, all others with success.
+    """
+    error_count = 0
+    for n in range(request_count):
+        driver.now += 0.02
+        driver.ask(f"/e{n}")
+        while driver.in_flight:
+            key, attempt = next(iter(driver.in_flight.items()))
+            error_count += attempt.backend in failing_caches
+            driver.finish_attempt(key, "error" if attempt.backend in failing_caches else "ok")
+    return error_count
 
 
-DIRECT = replace(SETTINGS, direct=True, can_health_check=True)
+DIRECT_SETTINGS = replace(SETTINGS, direct=True, can_health_check=True)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,50 +1,56 @@
-"""The list of known failures, ``KNOWN-RED.txt``: exact test ids, one line each."""
+"""Reads the list of known failures, ``KNOWN-RED.txt``, which has one line for each exact test id."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from pathlib import Path
 
-KNOWN_RED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-SEPARATOR = " | "
+KNOWN_FAILURES_FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+FIELD_SEPARATOR = " | "
 
 
-class KnownRedError(ValueError):
-    """A line of the list that is not ``test id | command and seed | what was seen | issue``."""
+class KnownFailuresError(ValueError):
+    """A line of the list is not of the form ``test id | command and seed | what was seen | issue``."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """A test that may fail for a fault that is not mended yet."""
+    """A test that may fail because of a bug that is not fixed yet."""
 
-    test_id: str  # with its parameters, without its xdist group
+    test_id: str  # with the parameters of the test, without the xdist group
     command: str
     seen: str
     issue: str
 
 
-def parse(text: str) -> dict[str, KnownFailure]:
-    """The entries by test id; blank lines and lines that begin with # are skipped. KnownRedError on any other."""
+def parse_known_failures(text: str) -> dict[str, KnownFailure]:
+    """Return the entries by test id. Blank lines and lines that begin with # are skipped.
+
+    Raises KnownFailuresError for any other line that is not an entry.
+    """
     entries = {}
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
             continue
-        fields = [field.strip() for field in line.split(SEPARATOR)]
+        fields = [field.strip() for field in line.split(FIELD_SEPARATOR)]
         if len(fields) != 4 or not all(fields):
-            raise KnownRedError(f"not 'test id | command and seed | what was seen | issue': {line}")
+            raise KnownFailuresError(
+                f"invalid entry: expected 'test id | command and seed | what was seen | issue', not {line}"
+            )
         entries[fields[0]] = KnownFailure(*fields)
     return entries
 
 
-def read() -> dict[str, KnownFailure]:
-    """The entries of the file; none where there is no file."""
-    return parse(KNOWN_RED.read_text()) if KNOWN_RED.exists() else {}
+def read_known_failures() -> dict[str, KnownFailure]:
+    """Return the entries of the file; none if the file does not exist."""
+    return parse_known_failures(KNOWN_FAILURES_FILE.read_text()) if KNOWN_FAILURES_FILE.exists() else {}
 
 
-def without_group(node_id: str) -> str:
-    """A test's id as pytest prints it, without the xdist group that ``--dist loadgroup`` appends.
+def without_xdist_group(node_id: str) -> str:
+    """Return a test id without the xdist group, ``@GROUP``, that ``--dist loadgroup`` appends.
 
-    A parameter may hold an ``@`` itself: a group stands behind the last bracket or has none in the name.
+    A parameter may contain an ``@``, too. An ``@`` begins a group only if it follows the closing bracket of the
+    parameters, or if the id has no parameters.
     """
     base, at, _ = node_id.rpartition("@")
     return base if at and ("[" not in node_id or base.endswith("]")) else node_id
--- a/tests/routing/test_concurrency.py
+++ b/tests/routing/test_concurrency.py
@@ -9,22 +9,33 @@
 
 from beechslip.routing import interface as i
 from beechslip.routing.tallies import MIN_FILL_FRACTION
-from tests.helpers import CACHES, DIRECT, HITS_NOTED, PARENTS, SETTINGS, Stage, attempts, entries, finals, home_of
+from tests.helpers import (
+    CACHES,
+    DIRECT_SETTINGS,
+    HIT_NOTES_SETTINGS,
+    PARENTS,
+    SETTINGS,
+    RouterDriver,
+    attempts,
+    final_actions,
+    first_backend_tried,
+    make_endpoints,
+)
 
 
 def test_a_hurried_client_is_no_sign_of_load_or_of_a_silent_backend() -> None:
-    stage = Stage()
-    home = home_of(stage, "/a")
-    stage.end(("r1", 0), "ok", "hit")
+    driver = RouterDriver()
+    home = first_backend_tried(driver, "/a")
+    driver.finish_attempt(("r1", 0), "ok", "hit")
     for n in range(30):
-        stage.ask("/a", name=f"h{n}", left=0.06, size=40.0)  # time for its bytes, and for little else
-        stage.wait(0.06)
-        stage.end((f"h{n}", 0), "timeout")
-    backend = stage.router.endpoints.backends[home]
+        driver.ask("/a", name=f"h{n}", left=0.06, size=40.0)  # time for its bytes, and for little else
+        driver.advance_time(0.06)
+        driver.finish_attempt((f"h{n}", 0), "timeout")
+    backend = driver.router.endpoints.backends[home]
     assert (
         not backend.ejected
         and backend.concurrency_limit == math.inf
-        and stage.router.limits.parent_fills.fraction == 1.0
+        and driver.router.limits.parent_fills.fraction == 1.0
     )
 
 
@@ -33,121 +44,121 @@
     tells: str, shrinks: bool
 ) -> None:
     # A slow origin must not make caches look full that answer what they hold at once.
-    stage = Stage(replace(SETTINGS, tells=tells))
-    home = home_of(stage, "/a")
+    driver = RouterDriver(replace(SETTINGS, tells=tells))
+    home = first_backend_tried(driver, "/a")
     for n in range(30):
-        stage.ask("/a", name=f"t{n}", left=2.0)
-        stage.now += 2.0
-        stage.end((f"t{n}", 0), "timeout")
+        driver.ask("/a", name=f"t{n}", left=2.0)
+        driver.now += 2.0
+        driver.finish_attempt((f"t{n}", 0), "timeout")
     assert (
-        stage.router.endpoints.backends[home].concurrency_limit < math.inf
-    ) == shrinks and stage.router.limits.parent_fills.fraction < 1.0
+        driver.router.endpoints.backends[home].concurrency_limit < math.inf
+    ) == shrinks and driver.router.limits.parent_fills.fraction < 1.0
 
 
 def test_fills_are_admitted_again_within_two_seconds_of_timely_ones() -> None:
     # Once the jam is over each second of it costs a third of all requests.
-    stage = Stage(replace(SETTINGS, tells="hit"))
-    stage.router.limits.parent_fills.fraction = MIN_FILL_FRACTION
+    driver = RouterDriver(replace(SETTINGS, tells="hit"))
+    driver.router.limits.parent_fills.fraction = MIN_FILL_FRACTION
     for _ in range(20):
-        stage.now += 0.1
-        stage.ask("/a", size=1.0)
-        for key in list(stage.in_flight):
-            stage.now += 0.01
-            stage.end(key, "ok", "filled")
-    assert stage.router.limits.parent_fills.fraction == 1.0
+        driver.now += 0.1
+        driver.ask("/a", size=1.0)
+        for key in list(driver.in_flight):
+            driver.now += 0.01
+            driver.finish_attempt(key, "ok", "filled")
+    assert driver.router.limits.parent_fills.fraction == 1.0
 
 
 def test_requests_that_go_straight_keep_to_the_concurrency_limit_of_the_parent() -> None:
     # A lost station's requests crowded the parents until stations with healthy caches lost two in five.
-    stage = Stage(DIRECT, listed=tuple(e for e in entries() if e.backend not in CACHES))
+    driver = RouterDriver(DIRECT_SETTINGS, listed=tuple(e for e in make_endpoints() if e.backend not in CACHES))
     for n in range(200):
-        stage.ask(f"/x{n}", name=f"n{n}", left=2.0)
-    stage.now += 2.0
-    for key in list(stage.in_flight):
-        stage.end(key, "timeout")
-    assert all(stage.router.endpoints.backends[p].concurrency_limit < math.inf for p in PARENTS)
-    asked = [a for n in range(200) for a in stage.ask(f"/y{n}", size=100.0 + 50 * (n % 20))]
-    assert 100 < len(attempts(asked)) < 180 and len(finals(asked)) == 200 - len(attempts(asked))
+        driver.ask(f"/x{n}", name=f"n{n}", left=2.0)
+    driver.now += 2.0
+    for key in list(driver.in_flight):
+        driver.finish_attempt(key, "timeout")
+    assert all(driver.router.endpoints.backends[p].concurrency_limit < math.inf for p in PARENTS)
+    asked = [a for n in range(200) for a in driver.ask(f"/y{n}", size=100.0 + 50 * (n % 20))]
+    assert 100 < len(attempts(asked)) < 180 and len(final_actions(asked)) == 200 - len(attempts(asked))
 
 
 @pytest.mark.parametrize(("late", "cut"), [(1, False), (4, True)])
 def test_one_late_answer_in_five_is_enough_to_pass_objects_on(late: int, cut: bool) -> None:
     # With its neighbour dead, a cache at half its pace made 15 to 25 of 100 answers late for 10 s while
     # another stood idle: a third, the fraction that cuts fills, is never reached by what is mostly hits.
-    stage = Stage()
+    driver = RouterDriver()
     for _ in range(40):
-        stage.ask("/one", size=400.0)
-    home = stage.router.endpoints.backends[next(iter(stage.in_flight.values())).backend]
-    keys = list(stage.in_flight)
+        driver.ask("/one", size=400.0)
+    home = driver.router.endpoints.backends[next(iter(driver.in_flight.values())).backend]
+    keys = list(driver.in_flight)
     for key in keys[late:]:
-        stage.end(key, "ok", "hit")
-    stage.now += 3.0
+        driver.finish_attempt(key, "ok", "hit")
+    driver.now += 3.0
     for key in keys[:late]:
-        stage.end(key, "ok", "hit")
+        driver.finish_attempt(key, "ok", "hit")
     assert (home.concurrency_limit < 40) == cut
 
 
 def test_fills_from_the_origin_itself_are_bounded_apart_and_faster() -> None:
-    stage = Stage(HITS_NOTED, listed=tuple(e for e in entries() if e.backend not in PARENTS))
+    driver = RouterDriver(HIT_NOTES_SETTINGS, listed=tuple(e for e in make_endpoints() if e.backend not in PARENTS))
     for n in range(4):
-        stage.ask(f"/x{n}", size=40.0)
-    stage.now += 1.5
-    for key in list(stage.in_flight):
-        stage.end(key, "ok", "filled")  # sent together: one jam, one cut
-    assert (stage.router.limits.origin_fills.fraction, stage.router.limits.parent_fills.fraction) == (0.5, 1.0)
-    stage.now += 0.1
-    stage.ask("/y", size=4.0, name="y")
-    stage.now += 1.5
-    stage.end(("y", 0), "ok", "filled")
-    assert stage.router.limits.origin_fills.fraction == 0.25
+        driver.ask(f"/x{n}", size=40.0)
+    driver.now += 1.5
+    for key in list(driver.in_flight):
+        driver.finish_attempt(key, "ok", "filled")  # sent together: one jam, one cut
+    assert (driver.router.limits.origin_fills.fraction, driver.router.limits.parent_fills.fraction) == (0.5, 1.0)
+    driver.now += 0.1
+    driver.ask("/y", size=4.0, name="y")
+    driver.now += 1.5
+    driver.finish_attempt(("y", 0), "ok", "filled")
+    assert driver.router.limits.origin_fills.fraction == 0.25
 
 
 def test_fills_return_by_time_however_few_a_proxy_sees() -> None:
     # A proxy of a large fleet sees about one fill a second; counted by fills it would look on for minutes.
-    stage = Stage()
-    stage.router.limits.parent_fills.fraction = 0.03
+    driver = RouterDriver()
+    driver.router.limits.parent_fills.fraction = 0.03
     for n in range(12):
-        stage.ask(f"/t{n}", size=100.0 - n)
-        stage.now += 0.1
-        for key in list(stage.in_flight):
-            stage.end(key, "ok", "filled")
-        stage.now += 0.9
-    assert stage.router.limits.parent_fills.fraction > 0.9
+        driver.ask(f"/t{n}", size=100.0 - n)
+        driver.now += 0.1
+        for key in list(driver.in_flight):
+            driver.finish_attempt(key, "ok", "filled")
+        driver.now += 0.9
+    assert driver.router.limits.parent_fills.fraction > 0.9
 
 
 def test_fills_that_fail_at_the_origin_count_as_late() -> None:
     # A slow origin that fails nearly all fills drowns in further ones; those that fail fast are no better.
-    stage = Stage()
+    driver = RouterDriver()
     for n in range(40):
-        stage.ask(f"/x{n}", name=f"n{n}")
-        stage.now += 0.2
-        for key in list(stage.in_flight):
-            stage.end(key, "full", "origin_failed")
-    assert stage.router.limits.parent_fills.fraction < 0.5
+        driver.ask(f"/x{n}", name=f"n{n}")
+        driver.now += 0.2
+        for key in list(driver.in_flight):
+            driver.finish_attempt(key, "full", "origin_failed")
+    assert driver.router.limits.parent_fills.fraction < 0.5
 
 
 def test_a_zones_link_reported_many_times_full_counts_as_a_late_fill() -> None:
-    stage = Stage()
+    driver = RouterDriver()
     for n in range(40):
-        stage.ask(f"/x{n}", name=f"n{n}")
-        stage.now += 0.1
-        for key in list(stage.in_flight):
-            issued = stage.in_flight.pop(key)
-            stage.give(i.Outcome(*key, issued.backend, "ok", 0.1, True, "filled", report={"link": 9.0}))
-    assert stage.router.limits.parent_fills.fraction < 0.5
+        driver.ask(f"/x{n}", name=f"n{n}")
+        driver.now += 0.1
+        for key in list(driver.in_flight):
+            issued = driver.in_flight.pop(key)
+            driver.handle_event(i.Outcome(*key, issued.backend, "ok", 0.1, True, "filled", report={"link": 9.0}))
+    assert driver.router.limits.parent_fills.fraction < 0.5
 
 
 # Guards against a link on which only the few largest answers are late, and run out of time.
 def test_late_answers_count_by_their_work() -> None:
-    stage = Stage()
-    home = home_of(stage, "/a")
-    stage.in_flight.clear()
+    driver = RouterDriver()
+    home = first_backend_tried(driver, "/a")
+    driver.in_flight.clear()
     for n in range(3):
-        stage.ask("/a", name=f"l{n}", size=8000.0)
-    stage.now += 4.5
+        driver.ask("/a", name=f"l{n}", size=8000.0)
+    driver.now += 4.5
     for n in range(60):
-        stage.ask("/a", name=f"s{n}", size=40.0)
-        stage.end((f"s{n}", 0), "ok", "hit")
+        driver.ask("/a", name=f"s{n}", size=40.0)
+        driver.finish_attempt((f"s{n}", 0), "ok", "hit")
     for n in range(3):
-        stage.end((f"l{n}", 0), "ok", "hit")
-    assert stage.router.endpoints.backends[home].concurrency_limit < math.inf
+        driver.finish_attempt((f"l{n}", 0), "ok", "hit")
+    assert driver.router.endpoints.backends[home].concurrency_limit < math.inf
--- a/tests/routing/test_endpoints.py
+++ b/tests/routing/test_endpoints.py
@@ -7,52 +7,52 @@
 import pytest
 
 from beechslip.routing import interface as i
-from tests.helpers import CACHES, SETTINGS, Stage, attempts, entries, finals, home_of
+from tests.helpers import CACHES, SETTINGS, RouterDriver, attempts, final_actions, first_backend_tried, make_endpoints
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_nothing_new_goes_to_a_draining_or_gone_backend_also_as_a_source(state: str) -> None:
-    stage = Stage()
-    stage.give(i.EndpointList("changes", entries(c1={"state": state}, p1={"state": state})))
-    issued = [attempts(stage.ask(f"/x{n}"))[0] for n in range(40)]
+    driver = RouterDriver()
+    driver.handle_event(i.EndpointList("changes", make_endpoints(c1={"state": state}, p1={"state": state})))
+    issued = [attempts(driver.ask(f"/x{n}"))[0] for n in range(40)]
     assert not {"c1:80", "p1:80"} & {a.backend for a in issued} | {"p1:80"} & {a.source for a in issued}
 
 
 def test_missing_from_a_full_list_means_gone_and_a_refused_watch_keeps_the_old_list() -> None:
-    stage = Stage()
-    stage.give(i.EndpointList("all", tuple(e for e in entries() if e.backend != "c2:80")))
-    stage.give(i.EndpointList("refused"))
-    assert {attempts(stage.ask(f"/x{n}"))[0].backend for n in range(40)} == set(CACHES) - {"c2:80"}
+    driver = RouterDriver()
+    driver.handle_event(i.EndpointList("all", tuple(e for e in make_endpoints() if e.backend != "c2:80")))
+    driver.handle_event(i.EndpointList("refused"))
+    assert {attempts(driver.ask(f"/x{n}"))[0].backend for n in range(40)} == set(CACHES) - {"c2:80"}
 
 
 def test_where_the_list_must_be_watched_a_refused_watch_is_retried() -> None:
-    stage = Stage(replace(SETTINGS, list_on_request=True))
-    assert isinstance(stage.actions[0], i.Watch)
-    stage.give(i.EndpointList("refused"))
-    assert any(isinstance(a, i.Watch) for a in stage.wait(2.0))
+    driver = RouterDriver(replace(SETTINGS, list_on_request=True))
+    assert isinstance(driver.actions[0], i.Watch)
+    driver.handle_event(i.EndpointList("refused"))
+    assert any(isinstance(a, i.Watch) for a in driver.advance_time(2.0))
 
 
 def test_a_restart_in_the_list_resets_the_health() -> None:
-    stage = Stage()
-    home = home_of(stage, "/a")
-    stage.end(("r1", 0), "reset")
-    stage.ask("/a")
-    stage.end(("r2", 0), "reset")
-    stage.give(i.EndpointList("changes", entries(**{home.split(":")[0]: {"started": stage.now}})))
-    assert not stage.router.endpoints.backends[home].ejected
+    driver = RouterDriver()
+    home = first_backend_tried(driver, "/a")
+    driver.finish_attempt(("r1", 0), "reset")
+    driver.ask("/a")
+    driver.finish_attempt(("r2", 0), "reset")
+    driver.handle_event(i.EndpointList("changes", make_endpoints(**{home.split(":")[0]: {"started": driver.now}})))
+    assert not driver.router.endpoints.backends[home].ejected
 
 
 def test_an_empty_list_mid_run_answers_at_once_and_the_next_list_serves_again() -> None:
-    stage = Stage()
-    stage.ask("/a")
-    stage.give(i.EndpointList("all", ()))
-    assert len(finals(stage.ask("/b"))) == 1
-    assert not finals(stage.end(("r1", 0), "ok", "filled"))
-    stage.give(i.EndpointList("all", entries()))
-    assert attempts(stage.ask("/c"))
+    driver = RouterDriver()
+    driver.ask("/a")
+    driver.handle_event(i.EndpointList("all", ()))
+    assert len(final_actions(driver.ask("/b"))) == 1
+    assert not final_actions(driver.finish_attempt(("r1", 0), "ok", "filled"))
+    driver.handle_event(i.EndpointList("all", make_endpoints()))
+    assert attempts(driver.ask("/c"))
 
 
 def test_where_no_zone_and_no_rack_is_stated_requests_are_still_answered_at_once() -> None:
-    unstated = tuple(replace(e, zone="", cell=0) for e in entries())
-    assert attempts(Stage(replace(SETTINGS, zone=""), listed=unstated).ask())
-    assert finals(Stage(listed=unstated).ask())
+    unstated = tuple(replace(e, zone="", cell=0) for e in make_endpoints())
+    assert attempts(RouterDriver(replace(SETTINGS, zone=""), listed=unstated).ask())
+    assert final_actions(RouterDriver(listed=unstated).ask())
--- a/tests/routing/test_estimates.py
+++ b/tests/routing/test_estimates.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from tests.helpers import Stage
+from tests.helpers import RouterDriver
 
 
 def test_where_sizes_are_not_stated_an_objects_own_quickest_answer_ranks_it() -> None:
-    stage = Stage()
+    driver = RouterDriver()
     for obj, took in (("/long", 3.0), ("/short", 0.02)) * 20:
-        stage.ask(obj, size=0.0)
-        stage.now += took
-        stage.end((f"r{stage.count}", 0), "ok", "filled")
-    stage.ask("/long", size=0.0, name="long")
-    stage.ask("/short", size=0.0, name="short")
-    long, short = (stage.router.requests.open[name].transfer_time for name in ("long", "short"))
+        driver.ask(obj, size=0.0)
+        driver.now += took
+        driver.finish_attempt((f"r{driver.request_count}", 0), "ok", "filled")
+    driver.ask("/long", size=0.0, name="long")
+    driver.ask("/short", size=0.0, name="short")
+    long, short = (driver.router.requests.open[name].transfer_time for name in ("long", "short"))
     assert long > 100 * short
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -15,30 +15,30 @@
 
 from beechslip.routing import Router
 from beechslip.routing import interface as i
-from tests.helpers import SETTINGS, Stage, entries, finals
+from tests.helpers import SETTINGS, RouterDriver, final_actions, make_endpoints
 
 ROOT = Path(__file__).parent.parent.parent
 
 
 @pytest.mark.parametrize(("rule", "left"), [("nobody", 3.0), ("big", 0.0), ("big", -1.0), ("order", 0.0)])
 def test_unknown_class_or_no_time_is_rejected_at_once(rule: str, left: float) -> None:
-    new = Stage().ask(rule=rule, left=left)
+    new = RouterDriver().ask(rule=rule, left=left)
     assert [type(a) for a in new] == [i.Refuse]
 
 
 def test_timeout_at_the_deadline_is_failed_or_rejected_once() -> None:
-    stage = Stage()
-    stage.ask(left=0.5)
-    stage.now += 0.5
-    assert len(finals(stage.end(("r1", 0), "timeout"))) == 1
-    assert finals(stage.wait(10.0)) == []
+    driver = RouterDriver()
+    driver.ask(left=0.5)
+    driver.now += 0.5
+    assert len(final_actions(driver.finish_attempt(("r1", 0), "timeout"))) == 1
+    assert final_actions(driver.advance_time(10.0)) == []
 
 
 def test_events_for_unknown_requests_are_ignored() -> None:
-    stage = Stage()
-    stage.ask()
-    stage.give(i.ClientGone("r1"))
-    assert stage.end(("r1", 0), "timeout", finished=True) == []
+    driver = RouterDriver()
+    driver.ask()
+    driver.handle_event(i.ClientGone("r1"))
+    assert driver.finish_attempt(("r1", 0), "timeout", finished=True) == []
     for event in (
         i.ClientGone("zz"),
         i.Timer(10**9),
@@ -47,25 +47,25 @@
         i.FirstByte("zz", 0, "c0:80"),
         i.PeerMessage(2, b"x"),
     ):
-        assert stage.give(event) == []
+        assert driver.handle_event(event) == []
 
 
 def play(seed: int) -> list[str]:
     """Randomly ordered events against the rules' invariants; returns every action as text."""
-    rng, stage = random.Random(seed), Stage(replace(SETTINGS, hedging=False))
+    rng, driver = random.Random(seed), RouterDriver(replace(SETTINGS, hedging=False))
     results = [*["ok"] * 6, "error", "full", "timeout", "connect_failed", "reset", "miss", "cancelled", "moot"]
     notes = ["", "hit", "filled", "source_refused", "source_lost", "no_place", "origin_failed"]
     ended: Counter[str] = Counter()
     deadline: dict[str, float] = {}
     down: set[str] = set()
     for n in range(1500):
-        name, mark = f"q{n}", len(stage.actions)
+        name, mark = f"q{n}", len(driver.actions)
         dice = rng.random()
         if dice < 0.45:
             left = rng.choice([0.0, 0.3, 2.0, 6.0])
-            deadline[name] = stage.now + left
+            deadline[name] = driver.now + left
             rule = rng.choice([*SETTINGS.classes, "odd"])
-            stage.ask(
+            driver.ask(
                 f"/x{rng.randrange(40)}",
                 rule,
                 rng.randrange(3),
@@ -74,41 +74,41 @@
                 rng.choice([0.0, 40.0, 4000.0]),
                 name,
             )
-        elif dice < 0.85 and stage.in_flight:
-            key = rng.choice(sorted(stage.in_flight))
-            result = rng.choice(results) if stage.now < deadline[key[0]] else "timeout"
+        elif dice < 0.85 and driver.in_flight:
+            key = rng.choice(sorted(driver.in_flight))
+            result = rng.choice(results) if driver.now < deadline[key[0]] else "timeout"
             before = ended[key[0]]
-            stage.end(key, result, rng.choice(notes))
+            driver.finish_attempt(key, result, rng.choice(notes))
             ended[key[0]] += result == "ok" and not before
         elif dice < 0.9:
-            stage.give(i.Purge(f"/x{rng.randrange(40)}", rng.randrange(4), rng.random()))
+            driver.handle_event(i.Purge(f"/x{rng.randrange(40)}", rng.randrange(4), rng.random()))
         elif dice < 0.95:
             what = rng.choice(["c0", "c1", "p0", "p1"])
             state = rng.choice(["ready", "draining", "gone"])
             (down.discard if state == "ready" else down.add)(f"{what}:80")
-            change = entries(**{what: {"state": state, "started": rng.choice([0.0, stage.now])}})
-            stage.give(i.EndpointList("changes", tuple(e for e in change if e.backend == f"{what}:80")))
+            change = make_endpoints(**{what: {"state": state, "started": rng.choice([0.0, driver.now])}})
+            driver.handle_event(i.EndpointList("changes", tuple(e for e in change if e.backend == f"{what}:80")))
         else:
-            stage.wait(rng.random())
-        for action in stage.actions[mark:]:
+            driver.advance_time(rng.random())
+        for action in driver.actions[mark:]:
             if isinstance(action, i.Attempt):
                 assert not {action.backend, action.source} & down
                 assert not ended[action.request] and 0.0 < action.timeout <= deadline[action.request] + 1e-9
-                assert sum(1 for key in stage.in_flight if key[0] == action.request) <= 1
+                assert sum(1 for key in driver.in_flight if key[0] == action.request) <= 1
             if isinstance(action, (i.Refuse, i.Fail)):
                 ended[action.request] += 1
                 assert ended[action.request] == 1
-    stage.wait(7.0)
-    for key in sorted(stage.in_flight):
-        for result in ("timeout",) if key in stage.in_flight else ():
-            for action in finals(stage.end(key, result)):
+    driver.advance_time(7.0)
+    for key in sorted(driver.in_flight):
+        for result in ("timeout",) if key in driver.in_flight else ():
+            for action in final_actions(driver.finish_attempt(key, result)):
                 ended[action.request] += 1  # type: ignore[union-attr]
-    while stage.in_flight:
-        for action in finals(stage.end(min(stage.in_flight), "timeout")):
+    while driver.in_flight:
+        for action in final_actions(driver.finish_attempt(min(driver.in_flight), "timeout")):
             ended[action.request] += 1  # type: ignore[union-attr]
     assert set(deadline) == set(ended) and set(ended.values()) == {1}
-    assert not stage.router.requests.open and not stage.router.requests.in_flight
-    return [repr(action) for action in stage.actions]
+    assert not driver.router.requests.open and not driver.router.requests.in_flight
+    return [repr(action) for action in driver.actions]
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -133,10 +133,10 @@
 
 def test_empty_settings_never_raise() -> None:
     router = Router(i.Settings(), 1)
-    router.handle(1.0, i.EndpointList("all", entries()))
+    router.handle(1.0, i.EndpointList("all", make_endpoints()))
     assert isinstance(router.handle(1.0, i.Request("r", "big", "/a", time_left=1.0))[0], i.Refuse)
     bare = Router(i.Settings(classes={"x": i.ClassRule("x")}, zone="east"), 1)
-    bare.handle(1.0, i.EndpointList("all", entries(c0={"started": 0.9})))
+    bare.handle(1.0, i.EndpointList("all", make_endpoints(c0={"started": 0.9})))
     for n in range(50):
         assert bare.handle(1.0, i.Request(f"r{n}", "x", f"/{n}", time_left=1.0))
 
--- a/tests/routing/test_size_fairness.py
+++ b/tests/routing/test_size_fairness.py
@@ -9,7 +9,7 @@
 from beechslip.routing import interface as i
 from beechslip.routing.size_fairness import GUARANTEED, MAX_CREDIT, MAX_DEFICIT, GuaranteedShares, SizeBands
 from beechslip.routing.state import OpenRequest, SizeBand
-from tests.helpers import CLASSES, Stage, finals
+from tests.helpers import CLASSES, RouterDriver, final_actions
 
 
 def request(transfer_time: float, name: str = "big") -> OpenRequest:
@@ -62,19 +62,19 @@
 
 
 def test_the_largest_are_not_all_rejected_while_the_caches_are_full() -> None:
-    stage, rng = Stage(), random.Random(3)
-    for backend in stage.router.endpoints.backends.values():
+    driver, rng = RouterDriver(), random.Random(3)
+    for backend in driver.router.endpoints.backends.values():
         backend.link_capacity = 8.0  # reports tell the load
     for n in range(120):
-        stage.ask(f"/x{n}", size=400.0)
-    stage.now += 1.5
-    for key in list(stage.in_flight)[:60]:
-        stage.end(key, "ok", "hit")
+        driver.ask(f"/x{n}", size=400.0)
+    driver.now += 1.5
+    for key in list(driver.in_flight)[:60]:
+        driver.finish_attempt(key, "ok", "hit")
     rejected = {True: 0, False: 0}
     for n in range(400):
         large = rng.random() < 0.1
-        ended = finals(stage.ask(f"/y{n}", size=8000.0 if large else rng.uniform(50.0, 400.0)))
+        ended = final_actions(driver.ask(f"/y{n}", size=8000.0 if large else rng.uniform(50.0, 400.0)))
         rejected[large] += len(ended)
-        for key in list(stage.in_flight)[:2]:
-            stage.end(key, "ok", "hit")
+        for key in list(driver.in_flight)[:2]:
+            driver.finish_attempt(key, "ok", "hit")
     assert 0 < rejected[True] < 40
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -8,65 +8,65 @@
 import pytest
 
 from beechslip.routing import interface as i
-from tests.helpers import ORIGIN, SETTINGS, Stage, attempts, entries, finals
+from tests.helpers import ORIGIN, SETTINGS, RouterDriver, attempts, final_actions, make_endpoints
 
 
 @pytest.mark.parametrize(("backend", "fraction", "multiple"), [("c0", 0.2, 2.5), ("p0", 0.07, 2.0)])
 def test_a_backend_in_slow_start_gets_no_more_than_its_present_fraction(
     backend: str, fraction: float, multiple: float
 ) -> None:
-    stage = Stage()
-    stage.warm_up()
-    capacity = max(stage.router.slow_start.capacity.values())
-    stage.give(i.EndpointList("changes", entries(**{backend: {"started": stage.now}})))
+    driver = RouterDriver()
+    driver.warm_up()
+    capacity = max(driver.router.slow_start.capacity.values())
+    driver.handle_event(i.EndpointList("changes", make_endpoints(**{backend: {"started": driver.now}})))
     work = 0.0
     for n in range(300):
-        issued = attempts(stage.ask(f"/cold{n}"))
+        issued = attempts(driver.ask(f"/cold{n}"))
         work += sum(0.1 for a in issued if f"{backend}:80" in (a.backend, a.source))
     assert work <= fraction * multiple * capacity
-    for name in {name for name, _ in stage.in_flight}:
-        stage.give(i.ClientGone(name))
-    for key in list(stage.in_flight):
-        stage.end(key, "cancelled", finished=True)
-    stage.now += 25.0
-    late = [attempts(stage.ask(f"/warm{n}"))[0] for n in range(60)]
+    for name in {name for name, _ in driver.in_flight}:
+        driver.handle_event(i.ClientGone(name))
+    for key in list(driver.in_flight):
+        driver.finish_attempt(key, "cancelled", finished=True)
+    driver.now += 25.0
+    late = [attempts(driver.ask(f"/warm{n}"))[0] for n in range(60)]
     assert any(f"{backend}:80" in (a.backend, a.source) for a in late)
 
 
 def test_a_fresh_instance_is_cautious_with_a_warming_cache_and_rejects_rather_than_overload_it() -> None:
-    listed = entries(**{f"c{n}": {"started": 999.9} for n in range(4)})
-    stage = Stage(listed=listed)
-    new = [a for n in range(200) for a in stage.ask(f"/x{n}")]
+    listed = make_endpoints(**{f"c{n}": {"started": 999.9} for n in range(4)})
+    driver = RouterDriver(listed=listed)
+    new = [a for n in range(200) for a in driver.ask(f"/x{n}")]
     assert sum(0.1 for _ in attempts(new)) <= 4 * 0.5 * 0.2 * 2.5 + 0.1
-    assert all(isinstance(a, i.Refuse) for a in finals(new))
+    assert all(isinstance(a, i.Refuse) for a in final_actions(new))
 
 
 def test_serving_small_requests_alone_does_not_raise_the_capacity_seen() -> None:
     # With the large rejected, the class's mean overstates what a warm backend has served.
-    stage = Stage()
+    driver = RouterDriver()
     for n in range(400):
-        stage.router.estimates.learn_transfer_time(SETTINGS.classes["big"], 1.0)
-        stage.ask(f"/w{n}", size=40.0)
-        stage.now += 0.05
-        stage.end((f"r{stage.count}", 0), "ok", "hit")
-    assert stage.router.slow_start.capacity["cache"] <= 0.01 / 0.05
+        driver.router.estimates.learn_transfer_time(SETTINGS.classes["big"], 1.0)
+        driver.ask(f"/w{n}", size=40.0)
+        driver.now += 0.05
+        driver.finish_attempt((f"r{driver.request_count}", 0), "ok", "hit")
+    assert driver.router.slow_start.capacity["cache"] <= 0.01 / 0.05
 
 
 def test_a_stated_weight_caps_the_quota_of_a_warming_cache() -> None:
     settings = replace(SETTINGS, weights="nominal", proxies_in_zone=2)
-    listed = entries(**{f"c{n}": {"weight": 4.0, "started": 0.0 if n else 999.0} for n in range(4)})
-    stage = Stage(settings, listed=listed)
-    stage.router.slow_start.capacity["cache"] = 50.0
-    issued = [a for n in range(400) for a in attempts(stage.ask(f"/x{n}")) if a.backend == "c0:80"]
+    listed = make_endpoints(**{f"c{n}": {"weight": 4.0, "started": 0.0 if n else 999.0} for n in range(4)})
+    driver = RouterDriver(settings, listed=listed)
+    driver.router.slow_start.capacity["cache"] = 50.0
+    issued = [a for n in range(400) for a in attempts(driver.ask(f"/x{n}")) if a.backend == "c0:80"]
     assert len(issued) * 0.1 <= (0.2 + 0.8 / 16) * 2.5 / 2 * 4.0 / 2 + 0.1
 
 
-def fleet(count: int, stated: int, listed: tuple[i.Endpoint, ...], now: float) -> list[Stage]:
+def fleet(count: int, stated: int, listed: tuple[i.Endpoint, ...], now: float) -> list[RouterDriver]:
     settings = replace(SETTINGS, proxies=stated, proxies_in_zone=stated, classes={"big": SETTINGS.classes["big"]})
-    stages = [Stage(settings, now=now, listed=listed) for _ in range(count)]
-    for number, stage in enumerate(stages):
-        stage.router.context.random.seed(number)
-    return stages
+    drivers = [RouterDriver(settings, now=now, listed=listed) for _ in range(count)]
+    for number, driver in enumerate(drivers):
+        driver.router.context.random.seed(number)
+    return drivers
 
 
 @pytest.mark.parametrize(
@@ -84,16 +84,16 @@
 ) -> None:
     # Floors for each proxy would add up: 120 fresh routers, each with more requests than it may send there.
     # The link carries one transfer at full pace, the least that any backend can.
-    stages = fleet(120, 120, entries(**{warming: {"started": 1000.0}}), 1000.0)
+    drivers = fleet(120, 120, make_endpoints(**{warming: {"started": 1000.0}}), 1000.0)
     issued: list[tuple[float, float]] = []
     for step in range(40):
         now = 1000.0 + step * 0.1
-        for number, stage in enumerate(stages):
-            stage.now = now
+        for number, driver in enumerate(drivers):
+            driver.now = now
             for n in range(2):
-                new = attempts(stage.ask(f"/x{(number * 7 + step * 3 + n) % 97}", size=1200.0))
+                new = attempts(driver.ask(f"/x{(number * 7 + step * 3 + n) % 97}", size=1200.0))
                 issued += [(now, 0.3) for a in new if f"{warming}:80" in (a.backend, a.source)]
-            stage.in_flight.clear()
+            driver.in_flight.clear()
     for start, _ in issued:
         present = fraction + (1.0 - fraction) * (start - 1000.0) / warm
         assert sum(work for at, work in issued if start <= at < start + 1.0) <= multiple * present + 0.3
@@ -101,53 +101,55 @@
 
 
 def test_a_warming_backend_is_not_starved_though_each_proxys_budget_is_below_one_request() -> None:
-    stages = fleet(100, 100, entries(c0={"started": 1000.0}), 1000.0)
+    drivers = fleet(100, 100, make_endpoints(c0={"started": 1000.0}), 1000.0)
     served = 0
     for step in range(160):
-        for number, stage in enumerate(stages):
-            stage.now = 1000.0 + step * 0.1
-            issued = attempts(stage.ask(f"/x{(step + number) % 37}", size=1200.0))
+        for number, driver in enumerate(drivers):
+            driver.now = 1000.0 + step * 0.1
+            issued = attempts(driver.ask(f"/x{(step + number) % 37}", size=1200.0))
             served += sum(a.backend == "c0:80" for a in issued)
-            stage.in_flight.clear()
+            driver.in_flight.clear()
     assert served >= 10
 
 
 @pytest.mark.parametrize("stated", [0, -5, 10**9])
 def test_absent_or_absurd_counts_of_proxies_fall_to_the_cautious_side(stated: int) -> None:
-    stage = fleet(1, stated, entries(c0={"started": 1000.0}), 1000.0)[0]
-    issued = [a for n in range(100) for a in attempts(stage.ask(f"/x{n}")) if a.backend == "c0:80"]
+    driver = fleet(1, stated, make_endpoints(c0={"started": 1000.0}), 1000.0)[0]
+    issued = [a for n in range(100) for a in attempts(driver.ask(f"/x{n}")) if a.backend == "c0:80"]
     assert len(issued) <= 1
 
 
 def test_a_start_in_the_future_counts_as_slow_start() -> None:
-    stage = Stage(listed=entries(c0={"started": 5000.0}))
-    issued = [a for n in range(200) for a in attempts(stage.ask(f"/x{n}")) if a.backend == "c0:80"]
+    driver = RouterDriver(listed=make_endpoints(c0={"started": 5000.0}))
+    issued = [a for n in range(200) for a in attempts(driver.ask(f"/x{n}")) if a.backend == "c0:80"]
     assert len(issued) <= 3
 
 
 def test_a_lost_parents_objects_do_not_overload_another_in_slow_start() -> None:
-    stage = Stage()
-    stage.warm_up()
-    stage.give(i.EndpointList("changes", entries(p0={"state": "gone"}, p1={"started": stage.now})))
-    sources = Counter(attempts(stage.ask(f"/x{n}"))[0].source for n in range(100))
-    assert sources["p1:80"] * 0.1 <= 0.07 * 2.0 * max(stage.router.slow_start.capacity.values())
+    driver = RouterDriver()
+    driver.warm_up()
+    driver.handle_event(i.EndpointList("changes", make_endpoints(p0={"state": "gone"}, p1={"started": driver.now})))
+    sources = Counter(attempts(driver.ask(f"/x{n}"))[0].source for n in range(100))
+    assert sources["p1:80"] * 0.1 <= 0.07 * 2.0 * max(driver.router.slow_start.capacity.values())
     assert sources[ORIGIN] > sources["p1:80"]
 
 
 def test_a_rack_that_restarts_at_once_moves_no_home_twice() -> None:
     # Caches in slow start get their objects back one by one as they warm up; an object that is back stays.
-    stage = Stage()
-    stage.warm_up()
-    stage.give(i.EndpointList("changes", entries(c0={"started": stage.now}, c1={"started": stage.now})))
+    driver = RouterDriver()
+    driver.warm_up()
+    driver.handle_event(
+        i.EndpointList("changes", make_endpoints(c0={"started": driver.now}, c1={"started": driver.now}))
+    )
     moves: Counter[str] = Counter()
     homes: dict[str, str] = {}
     for _ in range(20):
-        stage.now += 1.0
+        driver.now += 1.0
         for n in range(12):
-            issued = attempts(stage.ask(f"/x{n}", size=4.0))
+            issued = attempts(driver.ask(f"/x{n}", size=4.0))
             for attempt in issued:
                 moves[f"/x{n}"] += homes.get(f"/x{n}", attempt.backend) != attempt.backend
                 homes[f"/x{n}"] = attempt.backend
-            for key in list(stage.in_flight):
-                stage.end(key, "ok", "hit")
+            for key in list(driver.in_flight):
+                driver.finish_attempt(key, "ok", "hit")
     assert max(moves.values()) <= 2  # at most over the other warming cache, and home
--- a/tests/routing/test_time_left.py
+++ b/tests/routing/test_time_left.py
@@ -8,7 +8,7 @@
 import pytest
 
 from beechslip.routing import interface as i
-from tests.helpers import SETTINGS, Stage, attempts, finals
+from tests.helpers import SETTINGS, RouterDriver, attempts, final_actions
 
 
 # Guards against transfers that can't end in their client's time, and take a link from those that can.
@@ -25,20 +25,20 @@
 def test_a_request_that_can_not_be_sent_in_time_is_rejected_at_once(
     size: float, left: float, changes: dict[str, Any], sent: bool
 ) -> None:
-    stage = Stage()
+    driver = RouterDriver()
     event = replace(i.Request("r1", "big", "/a", size_kb=size, time_left=left), **changes)
-    actions = stage.give(event)
+    actions = driver.handle_event(event)
     assert bool(attempts(actions)) == sent
-    assert [action.reason for action in finals(actions)] == ([] if sent else ["deadline"])
+    assert [action.reason for action in final_actions(actions)] == ([] if sent else ["deadline"])
 
 
 def test_a_request_has_no_further_attempt_that_can_not_be_sent_in_time() -> None:
-    stage = Stage()
-    stage.ask("/a", size=4000.0, left=2.0)
-    stage.now += 1.0
-    assert [type(action) for action in finals(stage.end(("r1", 0), "full"))] == [i.Refuse]
+    driver = RouterDriver()
+    driver.ask("/a", size=4000.0, left=2.0)
+    driver.now += 1.0
+    assert [type(action) for action in final_actions(driver.finish_attempt(("r1", 0), "full"))] == [i.Refuse]
 
 
 def test_without_a_known_pace_every_size_is_sent() -> None:
-    stage = Stage(replace(SETTINGS, flow_kb_s=0.0))
-    assert attempts(stage.ask("/a", size=4000.0, left=0.9))
+    driver = RouterDriver(replace(SETTINGS, flow_kb_s=0.0))
+    assert attempts(driver.ask("/a", size=4000.0, left=0.9))
--- a/tests/test_budgets_settings.py
+++ b/tests/test_budgets_settings.py
@@ -31,7 +31,7 @@
 from beechslip.leases.settings import read_leases
 from beechslip.peering import read_checked_budgets
 from beechslip.routing import interface as i
-from tests.helpers import SETTINGS, Stage
+from tests.helpers import SETTINGS, RouterDriver
 from tests.test_budgets import Lease
 
 
@@ -174,30 +174,32 @@
 
 
 def test_the_module_goes_by_its_quotas_and_without_them_as_before() -> None:
-    stage = Stage()
+    driver = RouterDriver()
     source = next(
-        a.source for a in stage.give(i.Request("r0", "big", "x", time_left=6.0)) if isinstance(a, i.Attempt)
+        a.source for a in driver.handle_event(i.Request("r0", "big", "x", time_left=6.0)) if isinstance(a, i.Attempt)
+    )
+    driver.handle_event(i.Quotas(fills={source: 1.0}))  # one is out
+    other = next(
+        a.source for a in driver.handle_event(i.Request("r1", "big", "x", time_left=6.0)) if isinstance(a, i.Attempt)
     )
-    stage.give(i.Quotas(fills={source: 1.0}))  # one is out
-    other = next(a.source for a in stage.give(i.Request("r1", "big", "x", time_left=6.0)) if isinstance(a, i.Attempt))
     assert other != source
-    stage.give(i.Quotas())
+    driver.handle_event(i.Quotas())
     assert any(
         isinstance(a, i.Attempt) and a.source == source
-        for a in stage.give(i.Request("r2", "big", "x", time_left=6.0))
+        for a in driver.handle_event(i.Request("r2", "big", "x", time_left=6.0))
     )
-    stage.give(i.Quotas(retries=0.0))
-    stage.give(i.Outcome("r2", 0, next(iter(stage.router.endpoints.caches)).name, "connect_failed"))
-    assert any(isinstance(a, i.Refuse) and a.request == "r2" for a in stage.actions)  # no retry is left
+    driver.handle_event(i.Quotas(retries=0.0))
+    driver.handle_event(i.Outcome("r2", 0, next(iter(driver.router.endpoints.caches)).name, "connect_failed"))
+    assert any(isinstance(a, i.Refuse) and a.request == "r2" for a in driver.actions)  # no retry is left
 
 
 def test_a_warming_caches_part_is_the_one_posted() -> None:
     from tests.helpers import CACHES
 
-    stage = Stage()
-    store = stage.router.endpoints.backends[CACHES[0]]
-    before = stage.router.slow_start.quota(store, False)
-    stage.give(i.Quotas(cold={CACHES[0]: 12.5}))
-    assert stage.router.slow_start.quota(store, False) == 12.5
-    stage.give(i.Quotas())
-    assert stage.router.slow_start.quota(store, False) == before
+    driver = RouterDriver()
+    store = driver.router.endpoints.backends[CACHES[0]]
+    before = driver.router.slow_start.quota(store, False)
+    driver.handle_event(i.Quotas(cold={CACHES[0]: 12.5}))
+    assert driver.router.slow_start.quota(store, False) == 12.5
+    driver.handle_event(i.Quotas())
+    assert driver.router.slow_start.quota(store, False) == before
--- a/tests/test_changelog.py
+++ b/tests/test_changelog.py
@@ -153,7 +153,7 @@
     assert [
         "".join(d.name for d in one.backends) if isinstance(one, EndpointListUpdate) else one.object for one in got
     ] == expected
-    assert ("changelog.doubtful" in counters.line()) == (streams[0] == complete_list(4, "a"))
+    assert ("changelog.doubtful" in counters.format_line()) == (streams[0] == complete_list(4, "a"))
 
 
 @run
--- a/tests/test_duties_wire.py
+++ b/tests/test_duties_wire.py
@@ -156,7 +156,7 @@
     Address("127.0.0.1", 1),
     0,
     read_settings(SETTINGS),
-    contents={"peers": ["127.0.0.1:7946", "127.0.0.1:7947", "127.0.0.1:7948"], "peer_listen": "127.0.0.1:7000"},
+    file_contents={"peers": ["127.0.0.1:7946", "127.0.0.1:7947", "127.0.0.1:7948"], "peer_listen": "127.0.0.1:7000"},
 )
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -46,7 +46,7 @@
     until,
 )
 from tests.connection_helpers import Gated, client, command, request_ids
-from tests.test_program import ROOT, program
+from tests.test_program import ROOT, proxy_process
 
 # Discovery ------------------------------------------------------------------------------------------
 
@@ -64,30 +64,30 @@
 @run
 async def test_idle_clients_that_fill_the_descriptors_do_not_keep_discovery_away(tmp_path: Path) -> None:
     most = 128
-    async with program(tmp_path) as one:
+    async with proxy_process(tmp_path) as one:
         path = one.write_config()
         config = json.loads(path.read_text())
         config["limits"]["sockets"] = most
         path.write_text(json.dumps(config))
         process = await one.start(EDGE_CONFIG=str(path))
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (most, most))
-        await one.ready()
-        await until(lambda: one.log.resumed_from)
-        one.log.stop()
-        await until(lambda: one.log.rejected)
+        await one.wait_until_ready()
+        await until(lambda: one.change_log.resumed_from)
+        one.change_log.stop()
+        await until(lambda: one.change_log.rejected)
         idle = [await asyncio.open_connection("127.0.0.1", one.port) for _ in range(3 * most)]
         try:
             assert (await fetch(one.port))[0] == 200
-            asked = len(one.log.resumed_from)
-            one.log.resume()
-            await until(lambda: len(one.log.resumed_from) > asked)
-            one.log.publish(2, fleet={"snapshot": False, "endpoints": [line(one.backends[0], "leaving")]})
+            asked = len(one.change_log.resumed_from)
+            one.change_log.resume()
+            await until(lambda: len(one.change_log.resumed_from) > asked)
+            one.change_log.publish(2, fleet={"snapshot": False, "endpoints": [line(one.backends[0], "leaving")]})
             while not one.backends[1].seen:
                 assert (await fetch(one.port))[0] == 200
         finally:
             for _, writer in idle:
                 writer.transport.abort()
-        assert (await one.end())[0] == 0
+        assert (await one.terminate())[0] == 0
 
 
 # The program ends -----------------------------------------------------------------------------------
@@ -98,23 +98,23 @@
 async def test_sigterm_with_requests_in_flight_waiting_and_half_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reloading: bool
 ) -> None:
-    monkeypatch.setattr(shutdown, "LINGER_S", 0.0)
+    monkeypatch.setattr(shutdown, "SERVE_AFTER_SIGTERM_S", 0.0)
     drained, drain = asyncio.Event(), HttpFront.drain
     monkeypatch.setattr(HttpFront, "drain", lambda front: (drain(front), drained.set()))
-    async with program(tmp_path) as one:
+    async with proxy_process(tmp_path) as one:
         one.backends[:2] = [backend := Gated("s")]
         async with listening(backend):
             env = {"EDGE_CONFIG": str(one.write_config())}
             this = Proxy(read_config(env))
             task = asyncio.create_task(this.run())
-            await one.ready()
+            await one.wait_until_ready()
             async with client(one.port) as busy, client(one.port) as slow, client(one.port) as silent:
                 busy.send(command() + command())
                 half = command()
                 slow.send(half[:40])
                 await until(lambda: backend.seen)
                 if reloading:
-                    one.log.address = f"127.0.0.1:{free_port()}"
+                    one.change_log.address = f"127.0.0.1:{free_port()}"
                     one.write_config()
                     this.reload(env)
                 this.stopping.set()
@@ -129,16 +129,16 @@
 
 @run
 async def test_sigterm_ends_a_program_that_still_waits_for_its_list(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        await one.start(EDGE_CONFIG=str(one.write_config(known=False)))
-        await until(lambda: one.log.resumed_from)
-        code, said = await one.end()
+    async with proxy_process(tmp_path) as one:
+        await one.start(EDGE_CONFIG=str(one.write_config(has_known_events=False)))
+        await until(lambda: one.change_log.resumed_from)
+        code, said = await one.terminate()
         assert code == 0 and "before it serves" in said
 
 
 @run
 async def test_sighup_while_the_program_loads_is_heard_once_it_has(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
+    async with proxy_process(tmp_path) as one:
         path = one.write_config()
         text = path.read_bytes()
         path.unlink()
@@ -151,8 +151,8 @@
         process.send_signal(signal.SIGHUP)
         os.write(gate, text)
         os.close(gate)
-        await one.ready()
-        code, said = await one.end()
+        await one.wait_until_ready()
+        code, said = await one.terminate()
         assert code == 0 and "reloads=1" in said
 
 
@@ -164,7 +164,7 @@
     os.mkfifo(gate)
     (tmp_path / "sitecustomize.py").write_text(f"open({str(gate)!r}).read()\n")
     command_line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    async with program(tmp_path) as one:
+    async with proxy_process(tmp_path) as one:
         env = one.env | {"EDGE_CONFIG": str(one.write_config()), "PYTHONPATH": str(tmp_path)}
         one.process = await asyncio.create_subprocess_exec(
             "sh", "-c", command_line, cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
@@ -172,16 +172,16 @@
         pipe = await asyncio.get_running_loop().run_in_executor(None, os.open, gate, os.O_WRONLY)
         one.process.send_signal(signal.SIGHUP)
         os.close(pipe)
-        await one.ready()
-        assert (await one.end())[0] == 0
+        await one.wait_until_ready()
+        assert (await one.terminate())[0] == 0
 
 
 @run
 async def test_clients_that_come_again_are_served_by_the_process_after_a_sigkill(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
+    async with proxy_process(tmp_path) as one:
         path = str(one.write_config())
         first = await one.start(EDGE_CONFIG=path)
-        await one.ready()
+        await one.wait_until_ready()
 
         async def again() -> int:
             while True:
@@ -194,7 +194,7 @@
         asked = [asyncio.create_task(again()) for _ in range(8)]
         await one.start(EDGE_CONFIG=path)
         assert [await task for task in asked] == [200] * 8
-        assert (await one.end())[0] == 0
+        assert (await one.terminate())[0] == 0
 
 
 # A backend in slow start -------------------------------------------------------------------------------------
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -36,7 +36,7 @@
 from beechslip.leases.paxos import Acceptor, LeaseTuning, Proposer
 from beechslip.leases.quorum import adjoin, majority
 from beechslip.leases.tasks import TaskRunner
-from beechslip.peering_builder import build
+from beechslip.peering_builder import build_peering
 from beechslip.platform.backends import BackendClient
 from beechslip.routing.wire.settings import read_settings
 from lab.check import check_leases
@@ -308,7 +308,7 @@
     lease = "[leases]\nenabled = true\ndrills = ['x']\n"
     clock, config = ManualClock(), Config("n", Address("127.0.0.1", 9), 0, read_settings(SETTINGS))
     nobody = cast(BackendClient, None)
-    peering = build(_fleet(tmp_path, lease + "members = 3\n"), config, nobody, clock, Counters(), print)
+    peering = build_peering(_fleet(tmp_path, lease + "members = 3\n"), config, nobody, clock, Counters(), print)
     assert peering.leases is not None
     node = peering.leases.node
     for text, named in ((lease + "longest_ms = 9000\n", "longest_ms"), (lease + "drift = 0.1\n", "drift")):
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -18,7 +18,7 @@
 
 from beechslip.config import ConfigError, read_config
 from lab.stand import HANG, SETTINGS, Stand, StandBackend, fetch, read_message, run, until
-from tests.test_program import ROOT, Program, free_port, line, program
+from tests.test_program import ROOT, ProxyProcess, free_port, line, proxy_process
 
 READY = ("/v1/readyz", "GET")
 DRAIN, ACTIVATE = ("/v1/doorman/drain", "POST"), ("/v1/doorman/activate", "POST")
@@ -72,18 +72,18 @@
 
 @run
 async def test_operators_are_answered_before_and_after_it_takes_clients(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
+    async with proxy_process(tmp_path) as one:
         ops, names = free_port(), free_port()
         (tmp_path / "dns.toml").write_text(f'enabled = true\nzone = "z."\nlisten = "127.0.0.1:{names}"\n')
         await one.start(
-            EDGE_CONFIG=str(one.write_config(known=False)),
+            EDGE_CONFIG=str(one.write_config(has_known_events=False)),
             EDGE_OPS=f"127.0.0.1:{ops}",
             EDGE_DNS=str(tmp_path / "dns.toml"),
         )
-        await until(lambda: one.log.resumed_from)
+        await until(lambda: one.change_log.resumed_from)
         silent = [await asyncio.open_connection("127.0.0.1", ops) for _ in range(40)]
         assert await call(ops, *READY) == 503  # no backends yet
-        one.log.publish(1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in one.backends]})
+        one.change_log.publish(1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in one.backends]})
         while await call(ops, *READY) != 200:
             await asyncio.sleep(0.01)
         assert (await fetch(one.port, "/health"))[0] == 200
@@ -101,12 +101,12 @@
         assert [await call(ops, "/v1/readyz", "POST"), await call(ops, "/v1/none", "GET")] == [405, 404]
         for _, writer in silent:
             writer.close()
-        assert (await one.end())[0] == 0
+        assert (await one.terminate())[0] == 0
 
 
 @run
 async def test_an_upgrade_takes_over_on_the_inherited_socket_and_rejects_nobody(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
+    async with proxy_process(tmp_path) as one:
         with socket.create_server(("127.0.0.1", one.port)) as inherited:
             path = one.write_config()
 
@@ -187,8 +187,8 @@
             read_config(env)
         return
     config = read_config(env)
-    assert (str(config.ops), config.fd) == (ops, fd)
+    assert (str(config.ops_address), config.listening_fd) == (ops, fd)
 
 
 def test_a_program_without_a_second_address_has_none(tmp_path: Path) -> None:
-    assert read_config({"EDGE_CONFIG": str(Program(tmp_path).write_config())}).ops is None
+    assert read_config({"EDGE_CONFIG": str(ProxyProcess(tmp_path).write_config())}).ops_address is None
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started in service, spoken to over sockets."""
+"""Tests of whole proxy processes over sockets, started as in production."""
 
 from __future__ import annotations
 
@@ -39,21 +39,21 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-class Program:
-    """The world round one proxy, and the proxy as a process."""
+class ProxyProcess:
+    """A proxy process, and the backends and the change log that it uses."""
 
-    def __init__(self, folder: Path, kind: type[StandBackend] = StandBackend) -> None:
-        self.folder, self.port, self.log = folder, free_port(), StandLog()
+    def __init__(self, folder: Path, backend_type: type[StandBackend] = StandBackend) -> None:
+        self.folder, self.port, self.change_log = folder, free_port(), StandLog()
         self.backends = [
-            kind("a"),
-            kind("b"),
-            kind("hub", kind="parent", zone="north"),
-            kind("archive", kind="origin", zone="north"),
+            backend_type("a"),
+            backend_type("b"),
+            backend_type("hub", kind="parent", zone="north"),
+            backend_type("archive", kind="origin", zone="north"),
         ]
         self.process: asyncio.subprocess.Process | None = None
         self.env = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
 
-    def write_config(self, known: bool = True) -> Path:
+    def write_config(self, has_known_events: bool = True) -> Path:
         fleet = {"index": 1, "snapshot": True, "endpoints": [line(backend) for backend in self.backends]}
         path = self.folder / "config.json"
         path.write_text(
@@ -63,235 +63,244 @@
                     "listen": f"127.0.0.1:{self.port}",
                     "seed": "8c1f30d27a5be964",
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                    "changelog": self.log.address,
-                    "known": {"seq": int(known), "results": [{"seq": 1, "fleet": fleet}] if known else []},
+                    "changelog": self.change_log.address,
+                    "known": {
+                        "seq": int(has_known_events),
+                        "results": [{"seq": 1, "fleet": fleet}] if has_known_events else [],
+                    },
                     "settings": SETTINGS,
                 }
             )
         )
         return path
 
-    async def start(self, *words: str, **variables: str) -> asyncio.subprocess.Process:
+    async def start(self, *arguments: str, **environment: str) -> asyncio.subprocess.Process:
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "beechslip",
-            *words,
+            *arguments,
             cwd=ROOT,
-            env=self.env | variables,
+            env=self.env | environment,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
         )
         return self.process
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
+        """Wait until /health responds with 200."""
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 if (await fetch(self.port, "/health"))[0] == 200:
                     return
             await asyncio.sleep(0.02)
 
-    async def end(self) -> tuple[int | None, str]:
+    async def terminate(self) -> tuple[int | None, str]:
+        """Send SIGTERM and return the exit code and the text on standard error."""
         assert self.process is not None
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(signal.SIGTERM)
-        _, said = await self.process.communicate()
-        return self.process.returncode, said.decode()
+        _, stderr_bytes = await self.process.communicate()
+        return self.process.returncode, stderr_bytes.decode()
 
 
 @contextlib.asynccontextmanager
-async def program(folder: Path, kind: type[StandBackend] = StandBackend) -> AsyncIterator[Program]:
-    one = Program(folder, kind)
-    server = await asyncio.start_server(one.log.serve, "127.0.0.1", 0)
-    one.log.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    async with listening(*one.backends):
+async def proxy_process(folder: Path, backend_type: type[StandBackend] = StandBackend) -> AsyncIterator[ProxyProcess]:
+    """Run the backends and the change log of a ``ProxyProcess``, which the caller starts; kill it at the end."""
+    proxy = ProxyProcess(folder, backend_type)
+    server = await asyncio.start_server(proxy.change_log.serve, "127.0.0.1", 0)
+    proxy.change_log.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+    async with listening(*proxy.backends):
         try:
-            yield one
+            yield proxy
         finally:
-            if one.process is not None and one.process.returncode is None:
-                one.process.kill()
-                await one.process.communicate()  # read, as a full pipe would keep its end from being seen
+            if proxy.process is not None and proxy.process.returncode is None:
+                proxy.process.kill()
+                await proxy.process.communicate()  # reads the pipes: a full one would hide the end of the process
             server.close()
 
 
 @run
-async def test_it_serves_follows_the_change_log_and_ends_with_its_counters(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        await one.start(EDGE_CONFIG=str(one.write_config()))
-        await one.ready()
-        assert (await fetch(one.port))[2] == b"waves"
-        assert (await fetch(one.port, "/rpc/pick-submit/9c", "PUT", b"pick", Req_Token="5c"))[0] == 200
-        assert (await fetch(one.port, "/rpc/none/9c"))[0] == 404
-        first = next(backend for backend in one.backends if backend.seen)
-        one.log.publish(2, fleet={"snapshot": False, "endpoints": [line(first, "leaving")]})
-        other = one.backends[1 - one.backends.index(first)]
+async def test_proxy_serves_follows_the_change_log_and_logs_its_counters_at_exit(tmp_path: Path) -> None:
+    async with proxy_process(tmp_path) as proxy:
+        await proxy.start(EDGE_CONFIG=str(proxy.write_config()))
+        await proxy.wait_until_ready()
+        assert (await fetch(proxy.port))[2] == b"waves"
+        assert (await fetch(proxy.port, "/rpc/pick-submit/9c", "PUT", b"pick", Req_Token="5c"))[0] == 200
+        assert (await fetch(proxy.port, "/rpc/none/9c"))[0] == 404
+        leaving = next(backend for backend in proxy.backends if backend.seen)
+        proxy.change_log.publish(2, fleet={"snapshot": False, "endpoints": [line(leaving, "leaving")]})
+        other = proxy.backends[1 - proxy.backends.index(leaving)]
         while not other.seen:
-            assert (await fetch(one.port))[2] == b"waves"
-        count = len(first.seen)
-        assert (await fetch(one.port))[2] == b"waves" and len(first.seen) == count
-        code, said = await one.end()
-        assert code == 0 and one.log.resumed_from[0] == "1"
-        counters = dict(word.split("=") for word in said.splitlines()[-1].split() if "=" in word)
+            assert (await fetch(proxy.port))[2] == b"waves"
+        seen_before = len(leaving.seen)
+        assert (await fetch(proxy.port))[2] == b"waves" and len(leaving.seen) == seen_before
+        code, stderr_text = await proxy.terminate()
+        assert code == 0 and proxy.change_log.resumed_from[0] == "1"
+        counters = dict(word.split("=") for word in stderr_text.splitlines()[-1].split() if "=" in word)
         assert counters["bad_request"] == "1" and counters["answered.served"] == counters["taken"]
 
 
 @run
-async def test_sigterm_lets_it_take_and_answer_what_still_comes(tmp_path: Path) -> None:
-    released = asyncio.Event()
+async def test_proxy_answers_requests_that_arrive_after_sigterm(tmp_path: Path) -> None:
+    release = asyncio.Event()
 
-    class Slow(StandBackend):
+    class BlockingBackend(StandBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
-            await released.wait()
+            await release.wait()
             writer.write(OK)
 
-    async with program(tmp_path) as one:
-        one.backends[:2] = []
-        one.backends += [Slow("s")]
-        async with listening(one.backends[-1]):
-            process = await one.start(EDGE_CONFIG=str(one.write_config()))
-            await one.ready()
-            before = asyncio.create_task(fetch(one.port))
-            await until(lambda: one.backends[-1].seen)
+    async with proxy_process(tmp_path) as proxy:
+        proxy.backends[:2] = []
+        proxy.backends += [BlockingBackend("s")]
+        async with listening(proxy.backends[-1]):
+            process = await proxy.start(EDGE_CONFIG=str(proxy.write_config()))
+            await proxy.wait_until_ready()
+            before_sigterm = asyncio.create_task(fetch(proxy.port))
+            await until(lambda: proxy.backends[-1].seen)
             process.send_signal(signal.SIGTERM)
-            after = asyncio.create_task(fetch(one.port))
-            await until(lambda: len(one.backends[-1].seen) == 2)
+            after_sigterm = asyncio.create_task(fetch(proxy.port))
+            await until(lambda: len(proxy.backends[-1].seen) == 2)
             assert process.returncode is None
-            released.set()
-            assert [(await before)[2], (await after)[2]] == [b"waves", b"waves"]
+            release.set()
+            assert [(await before_sigterm)[2], (await after_sigterm)[2]] == [b"waves", b"waves"]
             assert (await process.communicate())[1] and process.returncode == 0
 
 
 @run
-async def test_it_does_not_end_before_all_is_answered(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shutdown, "LINGER_S", 0.0)
+async def test_proxy_answers_all_requests_before_it_exits(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(shutdown, "SERVE_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(front, "CLOSE_S", 0.2)
-    async with program(tmp_path) as one:
-        for backend in one.backends:
+    async with proxy_process(tmp_path) as proxy:
+        for backend in proxy.backends:
             backend.script = [HANG]
-        this = Proxy(read_config({"EDGE_CONFIG": str(one.write_config())}))
-        task = asyncio.create_task(this.run())
-        await one.ready()
-        asked = asyncio.create_task(fetch(one.port, wait_ms=1000))
-        await until(lambda: any(backend.seen for backend in one.backends))
-        this.stopping.set()
-        assert (await asked)[0] in (503, 504)  # its own deadline ends it, not the program's end
+        in_process = Proxy(read_config({"EDGE_CONFIG": str(proxy.write_config())}))
+        task = asyncio.create_task(in_process.run())
+        await proxy.wait_until_ready()
+        response = asyncio.create_task(fetch(proxy.port, wait_ms=1000))
+        await until(lambda: any(backend.seen for backend in proxy.backends))
+        in_process.stopping.set()
+        assert (await response)[0] in (503, 504)  # ended by the deadline of the request, not by the exit of the proxy
         await task
 
 
 @run
 @pytest.mark.parametrize("unreadable", [False, True])
-async def test_health_waits_for_the_list(tmp_path: Path, unreadable: bool) -> None:
-    async with program(tmp_path) as one:
-        path = one.write_config(known=False)
-        if unreadable:  # an event that can't be read ends no start: the log is asked for it
+async def test_health_responds_only_once_the_endpoint_list_is_known(tmp_path: Path, unreadable: bool) -> None:
+    async with proxy_process(tmp_path) as proxy:
+        path = proxy.write_config(has_known_events=False)
+        if unreadable:  # one unreadable event must not prevent the start: it is requested from the change log
             contents = json.loads(path.read_text())
             bad = {"seq": 1, "fleet": {"snapshot": True, "endpoints": [{}]}}
             contents["known"] = {"seq": 1, "results": [bad]}
             path.write_text(json.dumps(contents))
-        await one.start(EDGE_CONFIG=str(path))
-        await until(lambda: one.log.resumed_from)
-        assert one.log.resumed_from == ["0"]
+        await proxy.start(EDGE_CONFIG=str(path))
+        await until(lambda: proxy.change_log.resumed_from)
+        assert proxy.change_log.resumed_from == ["0"]
         with pytest.raises(OSError):
-            await fetch(one.port, "/health")
-        one.log.publish(1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in one.backends]})
-        await one.ready()
-        assert (await fetch(one.port))[0] == 200
-        code, said = await one.end()
-        assert code == 0 and ("changelog.unreadable=1" in said) == unreadable
+            await fetch(proxy.port, "/health")
+        proxy.change_log.publish(
+            1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in proxy.backends]}
+        )
+        await proxy.wait_until_ready()
+        assert (await fetch(proxy.port))[0] == 200
+        code, stderr_text = await proxy.terminate()
+        assert code == 0 and ("changelog.unreadable=1" in stderr_text) == unreadable
 
 
 @run
-async def test_sighup_moves_to_the_new_change_log_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        process = await one.start(EDGE_CONFIG=str(one.write_config()))
-        await one.ready()
+async def test_sighup_switches_to_the_new_change_log_and_ignores_an_invalid_file(tmp_path: Path) -> None:
+    async with proxy_process(tmp_path) as proxy:
+        process = await proxy.start(EDGE_CONFIG=str(proxy.write_config()))
+        await proxy.wait_until_ready()
 
-        async def said(what: bytes) -> None:
-            while what not in await process.stderr.readline():  # type: ignore[union-attr]
+        async def wait_for_log(text: bytes) -> None:
+            while text not in await process.stderr.readline():  # type: ignore[union-attr]
                 assert process.returncode is None
 
-        new, old = StandLog(), one.log
-        server = await asyncio.start_server(new.serve, "127.0.0.1", 0)
-        new.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        new_log, old_log = StandLog(), proxy.change_log
+        server = await asyncio.start_server(new_log.serve, "127.0.0.1", 0)
+        new_log.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         (tmp_path / "config.json").write_text("{")
         process.send_signal(signal.SIGHUP)
-        await said(b"is not used")
-        old.publish(2, fleet={"snapshot": False, "endpoints": [line(one.backends[0], "leaving")]})
-        await said(b"a 127.0.0.1")
-        one.log = new
-        one.write_config()
+        await wait_for_log(b"new configuration rejected")
+        old_log.publish(2, fleet={"snapshot": False, "endpoints": [line(proxy.backends[0], "leaving")]})
+        await wait_for_log(b"a 127.0.0.1")
+        proxy.change_log = new_log
+        proxy.write_config()
         process.send_signal(signal.SIGHUP)
-        new.publish(3, fleet={"snapshot": False, "endpoints": [line(one.backends[1], "leaving")]})
-        await said(b"b 127.0.0.1")
-        assert (old.resumed_from, new.resumed_from) == (["1"], ["2"])  # from the number reached
-        code, last = await one.end()
-        assert code == 0 and "reloads=1" in last
+        new_log.publish(3, fleet={"snapshot": False, "endpoints": [line(proxy.backends[1], "leaving")]})
+        await wait_for_log(b"b 127.0.0.1")
+        # The new change log is read from the last event of the old one on.
+        assert (old_log.resumed_from, new_log.resumed_from) == (["1"], ["2"])
+        code, stderr_text = await proxy.terminate()
+        assert code == 0 and "reloads=1" in stderr_text
         server.close()
 
 
 @run
-async def test_counters_are_printed_on_request(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
-        process = await one.start(EDGE_CONFIG=str(one.write_config()))
-        await one.ready()
-        await fetch(one.port)
+async def test_sigusr1_logs_the_counters(tmp_path: Path) -> None:
+    async with proxy_process(tmp_path) as proxy:
+        process = await proxy.start(EDGE_CONFIG=str(proxy.write_config()))
+        await proxy.wait_until_ready()
+        await fetch(proxy.port)
         process.send_signal(signal.SIGUSR1)
         assert process.stderr is not None
-        said = b""
-        while b"counters " not in said:
-            said = await process.stderr.readline()
-        assert b" taken=1" in said and process.returncode is None
+        line_read = b""
+        while b"counters " not in line_read:
+            line_read = await process.stderr.readline()
+        assert b" taken=1" in line_read and process.returncode is None
 
 
 @run
 @pytest.mark.parametrize("text", [None, "{", "[]", '{"settings":{}}', '{"settings":{},"listen":"x:y"}'])
-async def test_a_bad_configuration_is_reported(tmp_path: Path, text: str | None) -> None:
-    one, path = Program(tmp_path), tmp_path / "config.json"
+async def test_invalid_configuration_is_reported_in_one_line(tmp_path: Path, text: str | None) -> None:
+    proxy, path = ProxyProcess(tmp_path), tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    process = await one.start(EDGE_CONFIG=str(path))
+    process = await proxy.start(EDGE_CONFIG=str(path))
     assert (await process.communicate())[1].count(b"\n") == 1 and process.returncode == 2
 
 
 @run
-async def test_the_dns_front_listens_where_its_file_says(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
+async def test_dns_front_listens_on_the_address_in_its_file(tmp_path: Path) -> None:
+    async with proxy_process(tmp_path) as proxy:
         port = free_port()
         (tmp_path / "dns.toml").write_text(f'enabled = true\nzone = "z."\nlisten = "127.0.0.1:{port}"\n')
-        await one.start(EDGE_CONFIG=str(one.write_config()), EDGE_DNS=str(tmp_path / "dns.toml"))
-        await one.ready()
+        await proxy.start(EDGE_CONFIG=str(proxy.write_config()), EDGE_DNS=str(tmp_path / "dns.toml"))
+        await proxy.wait_until_ready()
         query = dns.message.make_query("7f3a.waveform.z.", "SRV")
         answer = await dns.asyncquery.udp(query, "127.0.0.1", port=port, timeout=10)
         record: Any = answer.answer[0][0]
-        assert f"127.0.0.1:{record.port}" in [backend.address for backend in one.backends[:2]]
+        assert f"127.0.0.1:{record.port}" in [backend.address for backend in proxy.backends[:2]]
 
 
 @run
-async def test_the_agent_runs_restarts_and_shuts_down_a_declared_instance(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
+async def test_agent_starts_restarts_and_drains_a_declared_instance(tmp_path: Path) -> None:
+    async with proxy_process(tmp_path) as proxy:
         url = f"sqlite:///{tmp_path}/store.db"
-        config = one.write_config()
-        adding = await one.start("--store", url, "instance", "add", "n3", "--config", str(config))
-        assert (await adding.communicate(), adding.returncode) == ((b"", b""), 0)
-        await one.start("--store", url, "agent")
+        config = proxy.write_config()
+        add_command = await proxy.start("--store", url, "instance", "add", "n3", "--config", str(config))
+        assert (await add_command.communicate(), add_command.returncode) == ((b"", b""), 0)
+        await proxy.start("--store", url, "agent")
         store = open_store(url)
 
-        async def reach(state: str, restarts: int) -> int:
+        async def wait_for_state(state: str, restarts: int) -> int:
             while True:
-                found = store.get("n3")
-                if found is not None and (found.state, found.restarts) == (state, restarts):
-                    return found.pid
+                instance = store.get("n3")
+                if instance is not None and (instance.state, instance.restarts) == (state, restarts):
+                    return instance.pid
                 await asyncio.sleep(0.02)
 
-        pid = await reach("healthy", 0)
-        assert (await fetch(one.port))[2] == b"waves"
+        pid = await wait_for_state("healthy", 0)
+        assert (await fetch(proxy.port))[2] == b"waves"
         os.kill(pid, signal.SIGKILL)
-        assert await reach("healthy", 1) != pid
-        assert (await fetch(one.port))[2] == b"waves"
+        assert await wait_for_state("healthy", 1) != pid
+        assert (await fetch(proxy.port))[2] == b"waves"
         store.want("n3", "drained")
-        await reach("drained", 1)
-        assert (await one.end())[0] == 0
+        await wait_for_state("drained", 1)
+        assert (await proxy.terminate())[0] == 0
         assert [event.kind for event in store.events("n3")] == [
             "declared",
             "started",
@@ -306,52 +315,56 @@
 
 
 @run
-async def test_a_proxy_does_not_outlive_an_agent_that_is_killed(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
+async def test_proxy_exits_when_its_agent_is_killed(tmp_path: Path) -> None:
+    async with proxy_process(tmp_path) as proxy:
         url = f"sqlite:///{tmp_path}/store.db"
         store = open_store(url)
-        store.add(Instance("n3", str(one.write_config())))
-        agent = await one.start("--store", url, "agent")
-        await one.ready()
+        store.add(Instance("n3", str(proxy.write_config())))
+        agent = await proxy.start("--store", url, "agent")
+        await proxy.wait_until_ready()
         agent.kill()
         await agent.wait()
         with pytest.raises(OSError):
             while True:
-                await fetch(one.port, "/health")
+                await fetch(proxy.port, "/health")
         store.close()
 
 
 @run
-async def test_three_proxies_with_shared_duties_divide_the_health_checks_among_them(tmp_path: Path) -> None:
-    async with program(tmp_path) as first:
+async def test_three_proxies_with_duties_share_the_health_checks(tmp_path: Path) -> None:
+    async with proxy_process(tmp_path) as first:
         ports = [free_port() for _ in range(3)]
         peers = [f"127.0.0.1:{free_port()}" for _ in range(3)]
         proxies = [first]
         for n in range(1, 3):
-            other = Program(tmp_path / f"n{n}")
+            other = ProxyProcess(tmp_path / f"n{n}")
             other.folder.mkdir()
-            other.backends, other.log = first.backends, first.log
+            other.backends, other.change_log = first.backends, first.change_log
             proxies.append(other)
-        for n, one in enumerate(proxies):
-            one.port = ports[n]
-            fleet = one.folder / f"fleet{n}.toml"
+        for n, proxy in enumerate(proxies):
+            proxy.port = ports[n]
+            fleet = proxy.folder / f"fleet{n}.toml"
             fleet.write_text(
                 f'enabled = true\nname = "test"\nnumber = {n}\npeers = {json.dumps(peers)}\n'
                 "[membership]\nperiod_ms = 200\n[duties]\nenabled = true\ninterval_ms = 400\n"
             )
-            await one.start(EDGE_CONFIG=str(one.write_config()), EDGE_FLEET=str(fleet))
-        for one in proxies:
-            await one.ready()
-        await asyncio.sleep(4.0)  # real processes on the system clock: a bounded wait, not a poll
-        counts = []
-        for one in proxies:
-            code, said = await one.end()
+            await proxy.start(EDGE_CONFIG=str(proxy.write_config()), EDGE_FLEET=str(fleet))
+        for proxy in proxies:
+            await proxy.wait_until_ready()
+        # These are real processes on the system clock, counted over a fixed time. There is no condition to poll for.
+        await asyncio.sleep(4.0)
+        counters_by_proxy = []
+        for proxy in proxies:
+            code, stderr_text = await proxy.terminate()
             assert code == 0
-            counts.append(dict(word.split("=") for word in said.splitlines()[-1].split() if "=" in word))
-        done = [int(c.get("duties.done", 0)) for c in counts]
-        assert all(int(c.get("fleet.received", 0)) > 0 for c in counts)
-        assert all(int(c.get("probe.heard", 0)) > 0 for c in counts)  # others' probes reach each module
-        boxes = len(first.backends)
-        # Each box about once an interval in all, where every proxy probing every box would be three times.
-        assert sum(done) < 2 * boxes * 4.0 / 0.4
-        assert sum(done) > 0.5 * boxes * 4.0 / 0.4
+            counters_by_proxy.append(
+                dict(word.split("=") for word in stderr_text.splitlines()[-1].split() if "=" in word)
+            )
+        checks_done = [int(counters.get("duties.done", 0)) for counters in counters_by_proxy]
+        assert all(int(counters.get("fleet.received", 0)) > 0 for counters in counters_by_proxy)
+        # Each router receives results of health checks that other proxies made.
+        assert all(int(counters.get("probe.heard", 0)) > 0 for counters in counters_by_proxy)
+        backend_count = len(first.backends)
+        # All proxies together check each backend about once per interval. Without sharing it would be three times.
+        assert sum(checks_done) < 2 * backend_count * 4.0 / 0.4
+        assert sum(checks_done) > 0.5 * backend_count * 4.0 / 0.4
--- a/tests/test_region_part.py
+++ b/tests/test_region_part.py
@@ -28,7 +28,7 @@
 from beechslip.regions.status import RegionState, RegionStatus
 from beechslip.routing import interface as i
 from lab.stand import HANG, Stand, StandBackend, free_port, run, until
-from tests.helpers import ORIGIN, PARENTS, SETTINGS, Stage
+from tests.helpers import ORIGIN, PARENTS, SETTINGS, RouterDriver
 from tests.region_helpers import grant, make_nodes
 
 
@@ -59,15 +59,15 @@
 
 
 def test_routers_leave_and_return_by_the_same_order_of_objects() -> None:
-    stages = [Stage(), Stage()]
+    drivers = [RouterDriver(), RouterDriver()]
 
     def sources(fraction: float | None) -> list[str]:
         found = []
-        for stage in stages:
+        for driver in drivers:
             if fraction is not None:
-                stage.give(i.RegionShares({PARENTS[0]: fraction}))
+                driver.handle_event(i.RegionShares({PARENTS[0]: fraction}))
             requests = [i.Request(f"{fraction}-{n}", "big", f"o{n}", time_left=6.0) for n in range(60)]
-            actions = [action for request in requests for action in stage.give(request)]
+            actions = [action for request in requests for action in driver.handle_event(request)]
             found.append([action.source for action in actions if isinstance(action, i.Attempt)])
         assert found[0] == found[1]  # alike at every proxy
         return found[0]
@@ -81,13 +81,13 @@
     assert all(everywhere[n] == PARENTS[0] for n in back)
     quarter = {n for n, source in enumerate(sources(0.25)) if source == PARENTS[0]}
     assert quarter < back  # a step keeps the objects of the one before
-    stage = stages[0]
-    stage.give(i.RegionShares({PARENTS[0]: 0.0}))
-    stage.router.endpoints.backends[PARENTS[0]].ejected = True
-    stage.give(i.RegionShares({PARENTS[0]: 0.0625}))
-    assert not stage.router.endpoints.backends[PARENTS[0]].ejected  # the router's own ejection ends with the fleet's
-    for one in stages:
-        one.give(i.RegionShares({}))
+    driver = drivers[0]
+    driver.handle_event(i.RegionShares({PARENTS[0]: 0.0}))
+    driver.router.endpoints.backends[PARENTS[0]].ejected = True
+    driver.handle_event(i.RegionShares({PARENTS[0]: 0.0625}))
+    assert not driver.router.endpoints.backends[PARENTS[0]].ejected  # the router's own ejection ends with the fleet's
+    for one in drivers:
+        one.handle_event(i.RegionShares({}))
     assert sources(None) == everywhere
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -20,9 +20,9 @@
 from beechslip.routing import interface as i
 from beechslip.routing.wire.settings import read_settings
 from lab.stand import HANG, OK, RESET, SETTINGS, Stand, fetch, run, until
-from tests.helpers import Stage, attempts
+from tests.helpers import RouterDriver, attempts
 from tests.test_dns import ZONE, DnsStand
-from tests.test_program import program
+from tests.test_program import proxy_process
 from tests.test_rules import Plan, boxes
 
 BEFORE = read_settings(SETTINGS)
@@ -169,20 +169,22 @@
 
 
 def test_the_router_takes_the_new_class_and_drops_the_old_one() -> None:
-    stage = Stage()
-    assert not attempts(stage.ask(rule="new"))
-    settings = stage.router.context.settings
-    stage.give(i.SettingsChanged(replace(settings, classes={"new": replace(settings.classes["big"], name="new")})))
-    assert attempts(stage.ask(rule="new")) and not attempts(stage.ask(rule="big"))
+    driver = RouterDriver()
+    assert not attempts(driver.ask(rule="new"))
+    settings = driver.router.context.settings
+    driver.handle_event(
+        i.SettingsChanged(replace(settings, classes={"new": replace(settings.classes["big"], name="new")}))
+    )
+    assert attempts(driver.ask(rule="new")) and not attempts(driver.ask(rule="big"))
 
 
 @run
 async def test_sighup_takes_up_the_new_class_at_once_and_drops_the_old_one_later(tmp_path: Path) -> None:
-    async with program(tmp_path) as one:
+    async with proxy_process(tmp_path) as one:
         path = one.write_config()
         this = Proxy(read_config({"EDGE_CONFIG": str(path)}))
         task = asyncio.create_task(this.run())
-        await one.ready()
+        await one.wait_until_ready()
         file = json.loads(path.read_text())
         file["settings"]["classes"][1]["name"] = "plot-2"
         path.write_text(json.dumps(file))
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -23,7 +23,7 @@
 from lab.service_soak import served
 from lab.stand import OK, Stand, StandBackend, fetch, read_message, run, until
 from tests.connection_helpers import Gated, client, command, connections
-from tests.test_program import ROOT, Program, program
+from tests.test_program import ROOT, ProxyProcess, proxy_process
 from tests.test_record import stage, submit
 from tests.test_rules import ERROR, Plan
 
@@ -53,7 +53,7 @@
 class Faulty:
     """A proxy process whose system calls and clock fail as specified."""
 
-    def __init__(self, world: Program, path: Path, faults: dict[str, Any]) -> None:
+    def __init__(self, world: ProxyProcess, path: Path, faults: dict[str, Any]) -> None:
         self.world, self._path = world, path
         self.env = {"PYTHONPATH": str(FAULTS), "LAB_FAULTS": str(path)}
         self._path.write_text(json.dumps(faults))
@@ -69,7 +69,7 @@
 @contextlib.asynccontextmanager
 async def faulty(folder: Path, deadline_s: float = 0.0, early: dict[str, Any] | None = None) -> AsyncIterator[Faulty]:
     """A proxy before two caches that may hang, a hub and an archive; ``early``: faults from its start on."""
-    async with program(folder, HangingBackend) as world:
+    async with proxy_process(folder, HangingBackend) as world:
         path = world.write_config()
         config = json.loads(path.read_text())
         for rule in config["settings"]["classes"]:
@@ -77,7 +77,7 @@
         path.write_text(json.dumps(config))
         one = Faulty(world, folder / "faults.json", early or {})
         await world.start(EDGE_CONFIG=str(path), **one.env)
-        await world.ready()
+        await world.wait_until_ready()
         yield one
 
 
