--- a/beechslip/core/attempts.py
+++ b/beechslip/core/attempts.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from beechslip.clock import Alarm, Clock, to_ms, to_seconds
+from beechslip.clock import Clock, ScheduledCall, to_ms, to_seconds
 from beechslip.core import guards
 from beechslip.core.guards import ALLOWED, GuardState
 from beechslip.core.model import PROVEN_NOT_EXECUTED, AttemptRequest, AttemptResult, AttemptResultKind, Backend
@@ -36,7 +36,7 @@
         # This result stands if the task is cancelled before its first step, as none of its code runs then.
         self.result = AttemptResult("moot")
         self.task: asyncio.Task[None] | None = None
-        self.alarm: Alarm | None = None
+        self.alarm: ScheduledCall | None = None
 
     def stop(self, reason: AttemptResultKind) -> None:
         """Cancel the attempt for ``reason``. Its result is still posted; a second call has no effect."""
--- a/beechslip/fleet/peers.py
+++ b/beechslip/fleet/peers.py
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from beechslip.clock import Alarm, Clock
+from beechslip.clock import Clock, ScheduledCall
 from beechslip.config import Address
 from beechslip.counters import Counters
 from beechslip.fleet.codec import CodecError, decode, encode
@@ -75,7 +75,7 @@
         self._parts = tuple(parts)
         self._tick_ms = tick_ms
         self._transport: asyncio.DatagramTransport | None = None
-        self._alarm: Alarm | None = None
+        self._alarm: ScheduledCall | None = None
         self.set_peers(peers)
 
     def set_peers(self, peers: Sequence[Address]) -> None:
--- a/beechslip/fleet/settings.py
+++ b/beechslip/fleet/settings.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from beechslip.config import Address, Config, ConfigError, parse_address, read_enabled
+from beechslip.config import Address, Config, ConfigError, parse_address, read_if_enabled
 from beechslip.fleet.tuning import MembershipTuning
 
 FLEET_FILE = Path(__file__).resolve().parents[2] / "deploy" / "fleet.toml"
@@ -114,7 +114,7 @@
 
     Keys that it leaves out (``listen``, ``peers``, ``number``) are taken from the platform's configuration.
     """
-    values = read_enabled(path)
+    values = read_if_enabled(path)
     if values is None:
         return None
     table = SettingsTable(path.name, values, TOP_LEVEL_KEYS + TABLE_NAMES)
@@ -122,7 +122,7 @@
     number = table.integer("number", config.settings.me, 0, MAX_MEMBERS)
     if number >= len(peers):
         raise table.make_error("number", f"is {number}, but there are {len(peers)} peers, numbered from 0")
-    listen = table.string("listen") or str(config.contents.get("peer_listen") or peers[number])
+    listen = table.string("listen") or str(config.file_contents.get("peer_listen") or peers[number])
     tuning = _read_membership_tuning(
         SettingsTable(f"{path.name}: membership", values.get("membership", {}), MEMBERSHIP_KEYS)
     )
@@ -141,7 +141,7 @@
 
 def _read_peers(table: SettingsTable, config: Config) -> tuple[str, ...]:
     """Read the addresses of the members from the file, or else from the platform's configuration."""
-    platform_peers = config.contents.get("peers")
+    platform_peers = config.file_contents.get("peers")
     peers = table.strings("peers")
     if not peers and isinstance(platform_peers, list):
         peers = tuple(str(peer) for peer in platform_peers)
--- a/beechslip/platform/front.py
+++ b/beechslip/platform/front.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from beechslip.clock import Alarm, Clock
+from beechslip.clock import Clock, ScheduledCall
 from beechslip.config import Address
 from beechslip.core.messages import ClientDisconnected, RequestReceived
 from beechslip.core.model import AttemptExecutor, FinalResponse
@@ -95,8 +95,8 @@
         self._post = post
         self._counters = counters
         self._listener: Listener | None = None
-        self._expiry_alarm: Alarm | None = None
-        self._loop_check_alarm: Alarm | None = None
+        self._expiry_alarm: ScheduledCall | None = None
+        self._loop_check_alarm: ScheduledCall | None = None
         self._is_draining = False
         self._has_stopped_accepting = False
         self._diverting_since_ms: float | None = None
--- a/beechslip/store/sent_requests.py
+++ b/beechslip/store/sent_requests.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from beechslip.clock import Clock
-from beechslip.config import ConfigError, read_enabled
+from beechslip.config import ConfigError, read_if_enabled
 from beechslip.core.services import PreviousSend
 from beechslip.counters import Counters
 from beechslip.fleet.settings import SettingsTable
@@ -72,7 +72,7 @@
 
     Raises ConfigError, which names the key, if a value is invalid.
     """
-    values = read_enabled(path)
+    values = read_if_enabled(path)
     if values is None:
         return None
     table = SettingsTable(path.name, values, ("enabled", "store", "wait_ms", "keep_s"))
--- a/tests/routing/test_outcomes.py
+++ b/tests/routing/test_outcomes.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from beechslip.routing import interface as i
-from tests.helpers import HITS_NOTED, Stage, attempts
+from tests.helpers import HIT_NOTES_SETTINGS, RouterDriver, attempts
 
 
 def test_full_from_a_cache_with_a_free_link_counts_against_its_source() -> None:
-    stage = Stage(HITS_NOTED)
-    first = attempts(stage.ask("/a", name="q"))[0]
-    stage.in_flight.pop(("q", 0))
+    driver = RouterDriver(HIT_NOTES_SETTINGS)
+    first = attempts(driver.ask("/a", name="q"))[0]
+    driver.in_flight.pop(("q", 0))
     full = i.Outcome("q", 0, first.backend, "full", 0.03, report={"busy": 0.4, "held": 3.0})
-    retry = attempts(stage.give(full))[0]
+    retry = attempts(driver.handle_event(full))[0]
     assert retry.backend == first.backend and retry.source != first.source
--- a/tests/routing/test_time_left.py
+++ b/tests/routing/test_time_left.py
@@ -8,7 +8,7 @@
 import pytest
 
 from beechslip.routing import interface as i
-from tests.helpers import SETTINGS, Stage, attempts, finals
+from tests.helpers import SETTINGS, RouterDriver, attempts, final_actions
 
 
 # Guards against transfers that cannot end in time and take link capacity from those that can.
@@ -25,20 +25,20 @@
 def test_request_whose_transfer_exceeds_the_time_left_is_rejected_at_once(
     size: float, left: float, changes: dict[str, Any], sent: bool
 ) -> None:
-    stage = Stage()
+    driver = RouterDriver()
     event = replace(i.Request("r1", "big", "/a", size_kb=size, time_left=left), **changes)
-    actions = stage.give(event)
+    actions = driver.handle_event(event)
     assert bool(attempts(actions)) == sent
-    assert [action.reason for action in finals(actions)] == ([] if sent else ["deadline"])
+    assert [action.reason for action in final_actions(actions)] == ([] if sent else ["deadline"])
 
 
 def test_request_is_not_retried_if_its_transfer_exceeds_the_time_left() -> None:
-    stage = Stage()
-    stage.ask("/a", size=4000.0, left=2.0)
-    stage.now += 1.0
-    assert [type(action) for action in finals(stage.end(("r1", 0), "full"))] == [i.Refuse]
+    driver = RouterDriver()
+    driver.ask("/a", size=4000.0, left=2.0)
+    driver.now += 1.0
+    assert [type(action) for action in final_actions(driver.finish_attempt(("r1", 0), "full"))] == [i.Refuse]
 
 
 def test_request_of_any_size_is_sent_if_the_transfer_rate_is_unknown() -> None:
-    stage = Stage(replace(SETTINGS, flow_kb_s=0.0))
-    assert attempts(stage.ask("/a", size=4000.0, left=0.9))
+    driver = RouterDriver(replace(SETTINGS, flow_kb_s=0.0))
+    assert attempts(driver.ask("/a", size=4000.0, left=0.9))
--- a/tests/test_changelog.py
+++ b/tests/test_changelog.py
@@ -176,7 +176,7 @@
         "".join(d.name for d in update.backends) if isinstance(update, EndpointListUpdate) else update.object
         for update in posted
     ] == expected
-    assert ("changelog.doubtful" in counters.line()) == (streams[0] == complete_list_event(4, "a"))
+    assert ("changelog.doubtful" in counters.format_line()) == (streams[0] == complete_list_event(4, "a"))
 
 
 @run
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -46,7 +46,7 @@
     until,
 )
 from tests.connection_helpers import GatedBackend, client, get_request_bytes, request_ids
-from tests.test_program import ROOT, program
+from tests.test_program import ROOT, proxy_process
 
 # Discovery ------------------------------------------------------------------------------------------
 
@@ -64,32 +64,34 @@
 @run
 async def test_idle_clients_that_use_up_the_descriptors_do_not_block_the_change_log(tmp_path: Path) -> None:
     descriptor_limit = 128
-    async with program(tmp_path) as testbed:
+    async with proxy_process(tmp_path) as testbed:
         path = testbed.write_config()
         config = json.loads(path.read_text())
         config["limits"]["sockets"] = descriptor_limit
         path.write_text(json.dumps(config))
         process = await testbed.start(EDGE_CONFIG=str(path))
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
-        await testbed.ready()
-        await until(lambda: testbed.log.resumed_from)
-        testbed.log.stop()
-        await until(lambda: testbed.log.rejected)
+        await testbed.wait_until_ready()
+        await until(lambda: testbed.change_log.resumed_from)
+        testbed.change_log.stop()
+        await until(lambda: testbed.change_log.rejected)
         idle_connections = [
             await asyncio.open_connection("127.0.0.1", testbed.port) for _ in range(3 * descriptor_limit)
         ]
         try:
             assert (await fetch(testbed.port))[0] == 200
-            stream_count = len(testbed.log.resumed_from)
-            testbed.log.resume()
-            await until(lambda: len(testbed.log.resumed_from) > stream_count)
-            testbed.log.publish(2, fleet={"snapshot": False, "endpoints": [line(testbed.backends[0], "leaving")]})
+            stream_count = len(testbed.change_log.resumed_from)
+            testbed.change_log.resume()
+            await until(lambda: len(testbed.change_log.resumed_from) > stream_count)
+            testbed.change_log.publish(
+                2, fleet={"snapshot": False, "endpoints": [line(testbed.backends[0], "leaving")]}
+            )
             while not testbed.backends[1].seen:
                 assert (await fetch(testbed.port))[0] == 200
         finally:
             for _, writer in idle_connections:
                 writer.transport.abort()
-        assert (await testbed.end())[0] == 0
+        assert (await testbed.terminate())[0] == 0
 
 
 # Signals to the program -----------------------------------------------------------------------------
@@ -100,23 +102,23 @@
 async def test_sigterm_serves_the_request_in_flight_and_refuses_waiting_and_half_read_ones(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, is_reloading: bool
 ) -> None:
-    monkeypatch.setattr(shutdown, "LINGER_S", 0.0)
+    monkeypatch.setattr(shutdown, "SERVE_AFTER_SIGTERM_S", 0.0)
     drained, drain = asyncio.Event(), HttpFront.drain
     monkeypatch.setattr(HttpFront, "drain", lambda front: (drain(front), drained.set()))
-    async with program(tmp_path) as testbed:
+    async with proxy_process(tmp_path) as testbed:
         testbed.backends[:2] = [backend := GatedBackend("s")]
         async with listening(backend):
             env = {"EDGE_CONFIG": str(testbed.write_config())}
             proxy = Proxy(read_config(env))
             task = asyncio.create_task(proxy.run())
-            await testbed.ready()
+            await testbed.wait_until_ready()
             async with client(testbed.port) as busy, client(testbed.port) as slow, client(testbed.port) as silent:
                 busy.send(get_request_bytes() + get_request_bytes())
                 half_sent_request = get_request_bytes()
                 slow.send(half_sent_request[:40])
                 await until(lambda: backend.seen)
                 if is_reloading:
-                    testbed.log.address = f"127.0.0.1:{free_port()}"
+                    testbed.change_log.address = f"127.0.0.1:{free_port()}"
                     testbed.write_config()
                     proxy.reload(env)
                 proxy.stopping.set()
@@ -131,16 +133,16 @@
 
 @run
 async def test_sigterm_ends_a_program_that_still_waits_for_its_endpoint_list(tmp_path: Path) -> None:
-    async with program(tmp_path) as testbed:
-        await testbed.start(EDGE_CONFIG=str(testbed.write_config(known=False)))
-        await until(lambda: testbed.log.resumed_from)
-        exit_status, stderr = await testbed.end()
+    async with proxy_process(tmp_path) as testbed:
+        await testbed.start(EDGE_CONFIG=str(testbed.write_config(has_known_events=False)))
+        await until(lambda: testbed.change_log.resumed_from)
+        exit_status, stderr = await testbed.terminate()
         assert exit_status == 0 and "before it serves" in stderr
 
 
 @run
 async def test_sighup_while_the_program_loads_causes_a_reload_once_it_has_loaded(tmp_path: Path) -> None:
-    async with program(tmp_path) as testbed:
+    async with proxy_process(tmp_path) as testbed:
         path = testbed.write_config()
         text = path.read_bytes()
         path.unlink()
@@ -154,8 +156,8 @@
         process.send_signal(signal.SIGHUP)
         os.write(gate, text)
         os.close(gate)
-        await testbed.ready()
-        exit_status, stderr = await testbed.end()
+        await testbed.wait_until_ready()
+        exit_status, stderr = await testbed.terminate()
         assert exit_status == 0 and "reloads=1" in stderr
 
 
@@ -167,7 +169,7 @@
     os.mkfifo(gate)
     (tmp_path / "sitecustomize.py").write_text(f"open({str(gate)!r}).read()\n")
     command_line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    async with program(tmp_path) as testbed:
+    async with proxy_process(tmp_path) as testbed:
         env = testbed.env | {"EDGE_CONFIG": str(testbed.write_config()), "PYTHONPATH": str(tmp_path)}
         testbed.process = await asyncio.create_subprocess_exec(
             "sh", "-c", command_line, cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
@@ -175,16 +177,16 @@
         pipe = await asyncio.get_running_loop().run_in_executor(None, os.open, gate, os.O_WRONLY)
         testbed.process.send_signal(signal.SIGHUP)
         os.close(pipe)
-        await testbed.ready()
-        assert (await testbed.end())[0] == 0
+        await testbed.wait_until_ready()
+        assert (await testbed.terminate())[0] == 0
 
 
 @run
 async def test_clients_that_retry_after_a_sigkill_are_served_by_the_next_process(tmp_path: Path) -> None:
-    async with program(tmp_path) as testbed:
+    async with proxy_process(tmp_path) as testbed:
         path = str(testbed.write_config())
         first_process = await testbed.start(EDGE_CONFIG=path)
-        await testbed.ready()
+        await testbed.wait_until_ready()
 
         async def fetch_until_served() -> int:
             while True:
@@ -197,7 +199,7 @@
         fetches = [asyncio.create_task(fetch_until_served()) for _ in range(8)]
         await testbed.start(EDGE_CONFIG=path)
         assert [await task for task in fetches] == [200] * 8
-        assert (await testbed.end())[0] == 0
+        assert (await testbed.terminate())[0] == 0
 
 
 # A backend in slow start ----------------------------------------------------------------------------
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -36,7 +36,7 @@
 from beechslip.leases.paxos import Acceptor, LeaseTuning, Proposer
 from beechslip.leases.quorum import is_quorum, merge_sets
 from beechslip.leases.tasks import TaskRunner
-from beechslip.peering_builder import build
+from beechslip.peering_builder import build_peering
 from beechslip.platform.backends import BackendClient
 from beechslip.routing.wire.settings import read_settings
 from lab.check import check_leases
@@ -338,7 +338,9 @@
     lease = "[leases]\nenabled = true\ndrills = ['x']\n"
     clock, config = ManualClock(), Config("n", Address("127.0.0.1", 9), 0, read_settings(SETTINGS))
     no_client = cast(BackendClient, None)
-    peering = build(_read_fleet_file(tmp_path, lease + "members = 3\n"), config, no_client, clock, Counters(), print)
+    peering = build_peering(
+        _read_fleet_file(tmp_path, lease + "members = 3\n"), config, no_client, clock, Counters(), print
+    )
     assert peering.leases is not None
     node = peering.leases.node
     for text, named in ((lease + "longest_ms = 9000\n", "longest_ms"), (lease + "drift = 0.1\n", "drift")):
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -18,7 +18,7 @@
 
 from beechslip.config import ConfigError, read_config
 from lab.stand import HANG, SETTINGS, Stand, StandBackend, fetch, read_message, run, until
-from tests.test_program import ROOT, Program, free_port, line, program
+from tests.test_program import ROOT, ProxyProcess, free_port, line, proxy_process
 
 READY = ("/v1/readyz", "GET")
 DRAIN, ACTIVATE = ("/v1/doorman/drain", "POST"), ("/v1/doorman/activate", "POST")
@@ -75,18 +75,20 @@
 
 @run
 async def test_operator_calls_are_answered_before_and_after_clients_are_accepted(tmp_path: Path) -> None:
-    async with program(tmp_path) as proxy:
+    async with proxy_process(tmp_path) as proxy:
         ops_port, dns_port = free_port(), free_port()
         (tmp_path / "dns.toml").write_text(f'enabled = true\nzone = "z."\nlisten = "127.0.0.1:{dns_port}"\n')
         await proxy.start(
-            EDGE_CONFIG=str(proxy.write_config(known=False)),
+            EDGE_CONFIG=str(proxy.write_config(has_known_events=False)),
             EDGE_OPS=f"127.0.0.1:{ops_port}",
             EDGE_DNS=str(tmp_path / "dns.toml"),
         )
-        await until(lambda: proxy.log.resumed_from)
+        await until(lambda: proxy.change_log.resumed_from)
         silent_connections = [await asyncio.open_connection("127.0.0.1", ops_port) for _ in range(40)]
         assert await fetch_status(ops_port, *READY) == 503  # no backends are known yet
-        proxy.log.publish(1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in proxy.backends]})
+        proxy.change_log.publish(
+            1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in proxy.backends]}
+        )
         while await fetch_status(ops_port, *READY) != 200:
             await asyncio.sleep(0.01)
         assert (await fetch(proxy.port, "/health"))[0] == 200
@@ -107,12 +109,12 @@
         ] == [405, 404]
         for _, writer in silent_connections:
             writer.close()
-        assert (await proxy.end())[0] == 0
+        assert (await proxy.terminate())[0] == 0
 
 
 @run
 async def test_upgrade_on_inherited_socket_rejects_no_client(tmp_path: Path) -> None:
-    async with program(tmp_path) as proxy:
+    async with proxy_process(tmp_path) as proxy:
         with socket.create_server(("127.0.0.1", proxy.port)) as inherited_socket:
             path = proxy.write_config()
 
@@ -193,8 +195,8 @@
             read_config(env)
         return
     config = read_config(env)
-    assert (str(config.ops), config.fd) == (ops, fd)
+    assert (str(config.ops_address), config.listening_fd) == (ops, fd)
 
 
 def test_read_config_without_operators_address_has_none(tmp_path: Path) -> None:
-    assert read_config({"EDGE_CONFIG": str(Program(tmp_path).write_config())}).ops is None
+    assert read_config({"EDGE_CONFIG": str(ProxyProcess(tmp_path).write_config())}).ops_address is None
--- a/tests/test_region_part.py
+++ b/tests/test_region_part.py
@@ -28,7 +28,7 @@
 from beechslip.regions.status import RegionState, RegionStatus
 from beechslip.routing import interface as i
 from lab.stand import HANG, Stand, StandBackend, free_port, run, until
-from tests.helpers import ORIGIN, PARENTS, SETTINGS, Stage
+from tests.helpers import ORIGIN, PARENTS, SETTINGS, RouterDriver
 from tests.region_helpers import grant_lease, make_nodes
 
 
@@ -59,16 +59,16 @@
 
 
 def test_routers_leave_and_return_in_the_same_order_of_objects() -> None:
-    stages = [Stage(), Stage()]
+    drivers = [RouterDriver(), RouterDriver()]
 
     def sources(fraction: float | None) -> list[str]:
         """Return the sources of 60 objects, the same at all routers, with ``fraction`` routed to the first parent."""
         sources_by_router = []
-        for stage in stages:
+        for driver in drivers:
             if fraction is not None:
-                stage.give(i.RegionShares({PARENTS[0]: fraction}))
+                driver.handle_event(i.RegionShares({PARENTS[0]: fraction}))
             requests = [i.Request(f"{fraction}-{n}", "big", f"o{n}", time_left=6.0) for n in range(60)]
-            actions = [action for request in requests for action in stage.give(request)]
+            actions = [action for request in requests for action in driver.handle_event(request)]
             sources_by_router.append([action.source for action in actions if isinstance(action, i.Attempt)])
         assert sources_by_router[0] == sources_by_router[1]  # the same at every proxy
         return sources_by_router[0]
@@ -82,14 +82,14 @@
     assert all(unrestricted[n] == PARENTS[0] for n in returned)
     quarter = {n for n, source in enumerate(sources(0.25)) if source == PARENTS[0]}
     assert quarter < returned  # each step keeps the objects of the step before
-    stage = stages[0]
-    stage.give(i.RegionShares({PARENTS[0]: 0.0}))
-    stage.router.endpoints.backends[PARENTS[0]].is_ejected = True
-    stage.give(i.RegionShares({PARENTS[0]: 0.0625}))
+    driver = drivers[0]
+    driver.handle_event(i.RegionShares({PARENTS[0]: 0.0}))
+    driver.router.endpoints.backends[PARENTS[0]].is_ejected = True
+    driver.handle_event(i.RegionShares({PARENTS[0]: 0.0625}))
     # The router's own ejection ends when the region returns.
-    assert not stage.router.endpoints.backends[PARENTS[0]].is_ejected
-    for each_stage in stages:
-        each_stage.give(i.RegionShares({}))
+    assert not driver.router.endpoints.backends[PARENTS[0]].is_ejected
+    for each_stage in drivers:
+        each_stage.handle_event(i.RegionShares({}))
     assert sources(None) == unrestricted
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -23,7 +23,7 @@
 from lab.service_soak import served
 from lab.stand import OK, Stand, StandBackend, fetch, read_message, run, until
 from tests.connection_helpers import GatedBackend, client, connections, get_request_bytes
-from tests.test_program import ROOT, Program, program
+from tests.test_program import ROOT, ProxyProcess, proxy_process
 from tests.test_record import proxy_with_sent_log, submit_keyed_request
 from tests.test_rules import ERROR_RESPONSE, ScriptedRouter
 
@@ -53,16 +53,16 @@
 class FaultyProxy:
     """A proxy process whose system calls and clock fail as specified in a file."""
 
-    def __init__(self, proxy_program: Program, path: Path, faults: dict[str, Any]) -> None:
-        self.program, self._path = proxy_program, path
+    def __init__(self, proxy_program: ProxyProcess, path: Path, faults: dict[str, Any]) -> None:
+        self.proxy_process, self._path = proxy_program, path
         self.env = {"PYTHONPATH": str(FAULTS), "LAB_FAULTS": str(path)}
         self._path.write_text(json.dumps(faults))
 
     async def set_faults(self, **faults: Any) -> None:
         """Replace the faults that are in effect."""
         self._path.write_text(json.dumps(faults))
-        assert self.program.process is not None
-        self.program.process.send_signal(signal.SIGUSR2)
+        assert self.proxy_process.process is not None
+        self.proxy_process.process.send_signal(signal.SIGUSR2)
         await asyncio.sleep(0.05)
 
 
@@ -71,7 +71,7 @@
     folder: Path, deadline_s: float = 0.0, early: dict[str, Any] | None = None
 ) -> AsyncIterator[FaultyProxy]:
     """Start a proxy with two caches that may hang, a hub and an archive; ``early`` are faults from its start on."""
-    async with program(folder, HangingBackend) as proxy_program:
+    async with proxy_process(folder, HangingBackend) as proxy_program:
         path = proxy_program.write_config()
         config = json.loads(path.read_text())
         for rule in config["settings"]["classes"]:
@@ -79,7 +79,7 @@
         path.write_text(json.dumps(config))
         proxy = FaultyProxy(proxy_program, folder / "faults.json", early or {})
         await proxy_program.start(EDGE_CONFIG=str(path), **proxy.env)
-        await proxy_program.ready()
+        await proxy_program.wait_until_ready()
         yield proxy
 
 
@@ -99,8 +99,8 @@
     tmp_path: Path, step_ms: float
 ) -> None:
     async with start_faulty_proxy(tmp_path) as proxy:
-        hung_backend: Any = proxy.program.backends[0]
-        port = proxy.program.port
+        hung_backend: Any = proxy.proxy_process.backends[0]
+        port = proxy.proxy_process.port
 
         async def ask(number: int) -> None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -134,7 +134,7 @@
 async def test_request_is_answered_in_time_if_accept_fails_briefly(tmp_path: Path, name: str) -> None:
     async with start_faulty_proxy(tmp_path) as proxy:
         await proxy.set_faults(accept={"errno": name, "for_ms": 250})
-        status, took_ms = await fetch_timed(proxy.program.port, wait_ms=800)
+        status, took_ms = await fetch_timed(proxy.proxy_process.port, wait_ms=800)
         assert status == 200 and took_ms < 500
 
 
@@ -146,8 +146,8 @@
     async with start_faulty_proxy(tmp_path) as proxy:
         await proxy.set_faults(connect_ms=350)
         began = time.monotonic()
-        assert (await fetch(proxy.program.port, wait_ms=800))[0] == 200
-        backend: Any = next(backend for backend in proxy.program.backends if backend.seen)
+        assert (await fetch(proxy.proxy_process.port, wait_ms=800))[0] == 200
+        backend: Any = next(backend for backend in proxy.proxy_process.backends if backend.seen)
         left_ms = 800 - (backend.request_times[0] - began) * 1000.0
         assert float(backend.seen[0][1]["X-Patience"]) <= left_ms + SLACK_MS
 
@@ -161,16 +161,16 @@
 async def test_stopped_process_forwards_no_more_time_than_the_client_has_left(
     tmp_path: Path, stopped_s: float
 ) -> None:
-    async with start_faulty_proxy(tmp_path) as proxy, client(proxy.program.port) as raw_client:
+    async with start_faulty_proxy(tmp_path) as proxy, client(proxy.proxy_process.port) as raw_client:
         raw_client.send(get_request_bytes(wait_ms=4000))
         await raw_client.reader.readuntil(b"waveform/7f3a")
-        process = proxy.program.process
+        process = proxy.proxy_process.process
         assert process is not None
         process.send_signal(signal.SIGSTOP)
         raw_client.send(get_request_bytes("/rpc/waveform/8a4b", wait_ms=4000))
         await asyncio.sleep(stopped_s)
         process.send_signal(signal.SIGCONT)
-        backends = proxy.program.backends
+        backends = proxy.proxy_process.backends
         target = "/data/waveform/8a4b/0"
         await until(lambda: any(target in first for backend in backends for first, _, _ in backend.seen))
         (patience_ms,) = (
@@ -216,9 +216,9 @@
     tmp_path: Path, deadline_s: float
 ) -> None:
     async with start_faulty_proxy(tmp_path, deadline_s) as proxy:
-        for backend in proxy.program.backends:
+        for backend in proxy.proxy_process.backends:
             backend.is_hanging = True  # type: ignore[attr-defined]
-        process, port = proxy.program.process, proxy.program.port
+        process, port = proxy.proxy_process.process, proxy.proxy_process.port
         assert process is not None
         unanswered: list[str] = []
 
@@ -319,24 +319,24 @@
 async def test_request_is_served_if_a_system_call_fails_briefly(tmp_path: Path, call: str, name: str) -> None:
     async with start_faulty_proxy(tmp_path) as proxy:
         await proxy.set_faults(**{call: {"errno": name, "for_ms": 250}})
-        status, took_ms = await fetch_timed(proxy.program.port, wait_ms=800)
+        status, took_ms = await fetch_timed(proxy.proxy_process.port, wait_ms=800)
         assert status == 200 and took_ms < 700
         for n in range(12):  # the failure does not count against a backend
-            assert (await fetch(proxy.program.port, f"/rpc/waveform/{n}"))[0] == 200
-        assert proxy.program.backends[0].seen and proxy.program.backends[1].seen
+            assert (await fetch(proxy.proxy_process.port, f"/rpc/waveform/{n}"))[0] == 200
+        assert proxy.proxy_process.backends[0].seen and proxy.proxy_process.backends[1].seen
 
 
 @run
 async def test_short_reads_and_writes_are_completed(tmp_path: Path) -> None:
     async with start_faulty_proxy(tmp_path) as proxy:
         await proxy.set_faults(short=3)
-        assert (await fetch(proxy.program.port))[2] == b"GET /data/waveform/7f3a/0 HTTP/1.1"
+        assert (await fetch(proxy.proxy_process.port))[2] == b"GET /data/waveform/7f3a/0 HTTP/1.1"
 
 
 @run
 async def test_proxy_starts_if_descriptors_are_briefly_exhausted(tmp_path: Path) -> None:
     async with start_faulty_proxy(tmp_path, early={"socket": {"errno": "ENFILE", "for_ms": 600}}) as proxy:
-        assert (await fetch(proxy.program.port))[0] == 200
+        assert (await fetch(proxy.proxy_process.port))[0] == 200
 
 
 @run
@@ -348,10 +348,10 @@
             config["settings"]["specifics"][name].append(config["settings"]["specifics"][name][0])
         (tmp_path / "config.json").write_text(json.dumps(config))
         await proxy.set_faults(open={"errno": "ENFILE", "for_ms": 400})
-        assert proxy.program.process is not None
-        proxy.program.process.send_signal(signal.SIGHUP)
+        assert proxy.proxy_process.process is not None
+        proxy.proxy_process.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(1.0)  # clients use the new class from 1.2 s after SIGHUP
-        assert (await fetch(proxy.program.port, "/rpc/spectrum/1"))[0] == 200
+        assert (await fetch(proxy.proxy_process.port, "/rpc/spectrum/1"))[0] == 200
 
 
 # What the engine enforces whatever the router module decides ---------------------------------------------------
