--- a/bench/leases.py
+++ b/bench/leases.py
@@ -31,7 +31,7 @@
 from lab.stand import fetch
 from lab.virtual import VirtualFleet, play
 from lab.virtual_plan import Net, Plan
-from lab.world import World
+from lab.world import ScenarioRunner
 
 SIZES = (5, 20, 200)
 LOSSES = (0.0, 0.1, 0.3)
@@ -142,7 +142,7 @@
         file = Path(folder) / "pays.toml"
         leases = "[fleet.leases]\nenabled = true\n[fleet.census]\nenabled = true\n" if on else ""
         file.write_text(f"members = {members}\n{leases}")
-        world = World(read_scenario(file), Path(folder) / "run")
+        world = ScenarioRunner(read_scenario(file), Path(folder) / "run")
         if not on:
             world.testbed.fleet_toml = lambda number, declared: "enabled = false\n"  # type: ignore[method-assign]
         try:
@@ -153,7 +153,7 @@
             await world.close()
 
 
-async def _measure(world: World, requests: int, idle_s: float) -> Cost:
+async def _measure(world: ScenarioRunner, requests: int, idle_s: float) -> Cost:
     pids = [proxy.process.pid for proxy in world.testbed.proxies if proxy.process]
     began, cpu_s = time.monotonic(), sum(map(_cpu_s, pids))
     await asyncio.sleep(idle_s)
--- a/bench/region_measures.py
+++ b/bench/region_measures.py
@@ -20,7 +20,7 @@
 from lab.scenario import read_scenario
 from lab.virtual_plan import Net, Plan
 from lab.virtual_regions import NO_DRILL_MS, SIZES, RegionFault, RegionFleet, RegionHealth
-from lab.world import World
+from lab.world import ScenarioRunner
 
 GAP_MS = 400.0  # a proxy has left when it has sent nothing through the hub for so long
 BUCKET_MS = 250.0  # the moments in which fills of one object at two places are counted
@@ -125,7 +125,7 @@
     tables = {name: dict(table) for name, table in scenario.tables.items()}
     tables["regions"]["enabled"] = run.regions_on
     with tempfile.TemporaryDirectory() as folder:
-        world = World(dataclasses.replace(scenario, tables=tables, seed=run.seed), Path(folder) / "run")
+        world = ScenarioRunner(dataclasses.replace(scenario, tables=tables, seed=run.seed), Path(folder) / "run")
         try:
             await world.open()
             result = await world.play()
@@ -137,8 +137,8 @@
         met
         for backend in world.testbed.backends
         if isinstance(backend, BusyBackend)
-        for met in backend.met
-        if not met.probe and met.source
+        for met in backend.received_requests
+        if not met.is_probe and met.source
     ]
     departures = _departures((met for met in fills if met.source == run.hub), failed_at)
     # From the failure to the load's end; served is what is answered with 200.
@@ -148,7 +148,7 @@
         return_ms=_return_ms(result.events, zone_faults[1:]),
         departure_ms=max(departures, default=0.0),
         median_departure_ms=float(np.median(departures)) if departures else 0.0,
-        filled_twice=filled_twice((met.t, met.target, met.source) for met in fills if met.t >= failed_at),
+        filled_twice=filled_twice((met.time_ms, met.target, met.source) for met in fills if met.time_ms >= failed_at),
         failed_attempts=float(
             sum(counters.get(name, 0) for counters in result.counters.values() for name in FAILED_COUNTERS)
         ),
@@ -162,7 +162,7 @@
     """By proxy that had attempts through the hub after its failure, the time until it has left; a trace names it."""
     times: dict[str, list[float]] = {}
     for met in fills:
-        times.setdefault(met.trace[:2], []).append(met.t)
+        times.setdefault(met.trace_id[:2], []).append(met.time_ms)
     found = (departure_ms(of_proxy, failed_at) for of_proxy in times.values())
     return [elapsed for elapsed in found if elapsed is not None]
 
--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: real proxy processes under load with faults between them, and what is proven of it."""
+"""The test bench: real proxy processes under load with injected faults, and checkers of their behaviour."""
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m lab``: run scenarios of faults between proxy processes, and play seeds in virtual time."""
+"""``python -m lab``: run fault scenarios on real proxy processes, and seeded simulations in virtual time."""
 
 from __future__ import annotations
 
@@ -24,9 +24,11 @@
 
 app = typer.Typer(help=__doc__, no_args_is_help=True, add_completion=False)
 console = Console()
-Out = Annotated[Path, typer.Option(help="Where results are written.")]
-Fault = Annotated[str, typer.Option("--plant", help=f"An injected fault: {', '.join(all_faults())}.")]
-HEADINGS = (
+OutFolder = Annotated[Path, typer.Option(help="The folder for the results.")]
+FaultName = Annotated[
+    str, typer.Option("--plant", help=f"The fault to inject into the proxies: {', '.join(all_faults())}.")
+]
+TABLE_HEADINGS = (
     "scenario",
     "injected fault",
     "verdict",
@@ -36,26 +38,26 @@
     "acts rejected",
     "answers",
 )
-PROGRESS_S = 0.2
-SHOWN_VIOLATIONS = 3  # of a seed of the service soak
+PROGRESS_INTERVAL_S = 0.2
+MAX_SHOWN_VIOLATIONS = 3  # per seed of the service soak
 
 
-def _check_fault(name: str) -> None:
+def _check_fault_name(name: str) -> None:
     if name and name not in all_faults():
-        raise typer.BadParameter(f"no injected fault is called {name!r}: {', '.join(all_faults())}")
+        raise typer.BadParameter(f"unknown injected fault {name!r}: expected one of {', '.join(all_faults())}")
 
 
-def _table(results: list[Result]) -> Table:
-    table = Table(*HEADINGS)
-    for row in reports.rows(results):
+def _result_table(results: list[Result]) -> Table:
+    table = Table(*TABLE_HEADINGS)
+    for row in reports.table_rows(results):
         table.add_row(*row)
     return table
 
 
 @app.command()
-def run(files: list[Path], out: Out = Path("found/lab"), fault: Fault = "") -> None:
-    """Run scenario files on real processes. Exits with 1 if what must hold did not, 2 for a file that is wrong."""
-    _check_fault(fault)
+def run(files: list[Path], out: OutFolder = Path("found/lab"), fault: FaultName = "") -> None:
+    """Run scenario files on real processes. Exits with 1 if a requirement was not met, 2 if a file is invalid."""
+    _check_fault_name(fault)
     try:
         scenarios = [read_scenario(path) for path in files]
     except ConfigError as error:
@@ -65,9 +67,9 @@
     for scenario in scenarios:
         folder = out / (scenario.name + (f"+{fault}" if fault else ""))
         result = asyncio.run(_run_with_progress(scenario, folder / f"run-{time.time_ns()}", fault))
-        reports.write(result, folder)
+        reports.write_result(result, folder)
         results.append(result)
-    console.print(_table(results))
+    console.print(_result_table(results))
     if any(result.failed for result in results):
         raise typer.Exit(1)
 
@@ -78,8 +80,8 @@
 
         async def advance() -> None:
             while True:
-                await asyncio.sleep(PROGRESS_S)
-                progress.advance(bar, PROGRESS_S)
+                await asyncio.sleep(PROGRESS_INTERVAL_S)
+                progress.advance(bar, PROGRESS_INTERVAL_S)
 
         advancing = asyncio.create_task(advance())
         try:
@@ -92,13 +94,13 @@
 def soak(
     seeds: Annotated[int, typer.Option(min=1, max=1_000_000)] = 200,
     first: Annotated[int, typer.Option(min=0)] = 0,
-    fault: Fault = "",
+    fault: FaultName = "",
     workers: Annotated[int, typer.Option(min=1, max=64)] = 4,
 ) -> None:
-    """Play seeded runs in virtual time, with all faults. Exits with 1 at a violation and names its seed."""
+    """Run seeded simulations in virtual time with all faults. Exits with 1 at a violation and prints its seed."""
     from lab.virtual import play
 
-    _check_fault(fault)
+    _check_fault_name(fault)
     began = time.monotonic()
     totals: Counter[str] = Counter()
     with ProcessPoolExecutor(workers) as pool, Progress(console=console, transient=True) as progress:
@@ -126,19 +128,19 @@
     first: Annotated[int, typer.Option(min=0)] = 1,
     workers: Annotated[int, typer.Option(min=1, max=16)] = 4,
 ) -> None:
-    """Play seeded soaks of one real proxy process. Exits with 1 if a rule was broken, and names the seed."""
+    """Run seeded soaks of one real proxy process. Exits with 1 at a violation and prints its seed."""
     from lab import service_soak
 
     failed = 0
     served = 0
     chosen = range(first, first + seeds)
     with ProcessPoolExecutor(workers) as pool:
-        for seed, findings in zip(chosen, pool.map(service_soak.soak, chosen), strict=True):
+        for seed, findings in zip(chosen, pool.map(service_soak.run_soak, chosen), strict=True):
             failed += bool(findings.violations)
             served += findings.served
-            for text in findings.violations[:SHOWN_VIOLATIONS]:
+            for text in findings.violations[:MAX_SHOWN_VIOLATIONS]:
                 console.print(f"seed {seed}: {text}", markup=False, soft_wrap=True)
-    console.print(f"{seeds} seeds from {first}, {served} requests served, {failed} seeds with a broken rule")
+    console.print(f"{seeds} seeds from {first}, {served} requests served, {failed} seeds with a violation")
     if failed:
         raise typer.Exit(1)
 
@@ -151,17 +153,17 @@
     renews: int = 0,
     most: int = 5_000_000,
     deep: bool = False,
-    fault: Fault = "",
+    fault: FaultName = "",
 ) -> None:
-    """Visit every interleaving of one lease within bounds. Exits with 1 if two hold it at once."""
+    """Explore every interleaving of one lease within bounds. Exits with 1 if two members hold it at once."""
     from lab.search import Bounds, Search
 
-    _check_fault(fault)
+    _check_fault_name(fault)
     with inject(fault):
         found = Search(Bounds(units, (1, 1), renews, restarts, repeats)).run(most, deep)
     console.print(
         f"{found.states} states, {found.steps} steps, "
-        f"{'all within the bounds' if found.complete else 'ended before all were visited'}"
+        f"{'all within the bounds were visited' if found.complete else 'stopped before all were visited'}"
     )
     if found.violation:
         console.print(found.violation, markup=False)
@@ -170,15 +172,15 @@
 
 @app.command()
 def report(folder: Path) -> None:
-    """Print the results below a folder, and draw their timelines again."""
+    """Print the results found below a folder, and redraw their timelines."""
     try:
-        results = reports.read(folder)
+        results = reports.read_results(folder)
     except ValueError as error:
         console.print(f"[red]{error}")
         raise typer.Exit(2) from None
     for path, result in zip(sorted(folder.rglob("result.json")), results, strict=True):
-        reports.timeline(result, path.with_name("timeline.png"))
-    console.print(_table(results))
+        reports.draw_timeline(result, path.with_name("timeline.png"))
+    console.print(_result_table(results))
 
 
 if __name__ == "__main__":
--- a/lab/agent_world.py
+++ b/lab/agent_world.py
@@ -26,9 +26,9 @@
 from lab.agent_judge import LISTENS, SIGTERM_LINE, Judge, Outcome, read_lines
 from lab.agent_load import Load
 from lab.ports import free_port
-from lab.processes import spawn
+from lab.processes import spawn_python
 from lab.relay import TcpRelay
-from lab.stand import SETTINGS, StandBackend, StandLog, fetch, line, listening
+from lab.stand import SETTINGS, FakeBackend, FakeChangeLog, endpoint_entry, fetch, listening
 
 READY_S = 60.0
 POLL_S = 0.1
@@ -107,12 +107,12 @@
         self.rng = random.Random(case.seed)
         self.url = url or f"sqlite:///{folder}/store.db"
         self.backends = [
-            StandBackend("a"),
-            StandBackend("b"),
-            StandBackend("hub", kind="parent", zone="north"),
-            StandBackend("archive", kind="origin", zone="north"),
+            FakeBackend("a"),
+            FakeBackend("b"),
+            FakeBackend("hub", kind="parent", zone="north"),
+            FakeBackend("archive", kind="origin", zone="north"),
         ]
-        self.log = StandLog()
+        self.log = FakeChangeLog()
         self.agents: dict[str, asyncio.subprocess.Process] = {}
         self.relays: dict[str, TcpRelay] = {}
         self.hurt: dict[str, float] = {}  # by instance: when the lab last did something to it
@@ -143,7 +143,7 @@
         raise RuntimeError(f"{self.case.name}: not all came up; see {self.folder}")
 
     def _declare(self, number: int, name: str, log_port: int) -> None:
-        endpoints = [line(backend) for backend in self.backends]
+        endpoints = [endpoint_entry(backend) for backend in self.backends]
         config = {
             "name": name,
             "listen": f"127.0.0.1:{self.ports[name]}",
@@ -165,7 +165,7 @@
         """Start an agent; the kernel kills it when the lab dies."""
         url = await self._relayed_url(name) if self.case.postgres else self.url
         command = ["-m", "beechslip", "--store", url, "agent", "--name", name, "--lease-ms", str(AGENT_LEASE_MS)]
-        self.agents[name] = await spawn(command, self.folder / f"{name}.log")
+        self.agents[name] = await spawn_python(command, self.folder / f"{name}.log")
 
     async def _relayed_url(self, name: str) -> str:
         """The store's URL through the agent's own relay, which is started at the first call."""
@@ -226,9 +226,9 @@
             await asyncio.sleep(fault.duration_s)
             self._limit_files(False)
         elif fault.kind is FaultKind.SILENCE:
-            self.relays[target].set("silence")
+            self.relays[target].set_fault("silence")
             await asyncio.sleep(fault.duration_s)
-            self.relays[target].set("")
+            self.relays[target].set_fault("")
         elif fault.kind is FaultKind.KILL:
             await self._kill_agent(target, fault.duration_s)
         else:
--- a/lab/budget_checker.py
+++ b/lab/budget_checker.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from beechslip.budgets.limit import FleetLimit
-from lab.check import MOST_KEPT, Violation
+from lab.check import MAX_VIOLATIONS, Violation
 
 TOLERANCE = 1e-6  # relative and absolute: sums of floats are rounded
 RATE_WINDOW_MS = 1000.0  # a rate's use is shown over this
@@ -69,7 +69,7 @@
             self._level_at_ms = t
             used = bound - self._level
         self.max_used = max(self.max_used, used)
-        if used > bound * (1 + TOLERANCE) + TOLERANCE and len(self.violations) < MOST_KEPT:
+        if used > bound * (1 + TOLERANCE) + TOLERANCE and len(self.violations) < MAX_VIOLATIONS:
             rule = f"over-{self.limit.kind}"
             self.violations.append(Violation(rule, t, f"{member} makes it {used:.2f} of {bound:g}"))
 
--- a/lab/budget_trials.py
+++ b/lab/budget_trials.py
@@ -30,5 +30,5 @@
     return BudgetOutcome(
         fleet.steps,
         {name: checker.max_used_fraction() for name, checker in fleet.checkers.items()},
-        tuple(f"{violation.rule} at {violation.t:.0f} ms: {violation.text}" for violation in found),
+        tuple(f"{violation.rule} at {violation.time_ms:.0f} ms: {violation.text}" for violation in found),
     )
--- a/lab/fault_log.py
+++ b/lab/fault_log.py
@@ -1,4 +1,4 @@
-"""The lab's own part of a history: what was done to which member, and when."""
+"""The test bench's own part of a history: which fault was injected into which member, and when."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 
 from lab.processes import steady_ms
 
-EVERYBODY = "all"
+ALL_MEMBERS = "all"
 NETWORK = "network"
-END = "end"  # the orderly end of the run, which is no fault
+ORDERLY_END = "end"  # the orderly end of the run, which is not a fault
 
 
 class FaultLog:
-    """Events of kind ``fault``, in the form of the proxies' histories; times are of :func:`steady_ms`."""
+    """Record events of kind ``fault`` in the form of the proxies' histories; times are those of :func:`steady_ms`."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty log."""
         self.events: list[dict[str, Any]] = []
 
     def note(self, member: str, what: str) -> None:
-        """Add an event at the present time; ``member`` is a proxy's name, :data:`EVERYBODY` or :data:`NETWORK`."""
+        """Append an event with the current time.
+
+        ``member`` is a proxy's name, :data:`ALL_MEMBERS` or :data:`NETWORK`.
+        """
         self.events.append({"t": steady_ms(), "member": member, "life": 0, "kind": "fault", "what": what})
 
-    def touched(self, member: str, since_ms: float) -> bool:
-        """Whether something was done to ``member``, or to all, at ``since_ms`` or later."""
-        return any(event["t"] >= since_ms and event["member"] in (member, EVERYBODY) for event in self.events)
+    def was_disturbed(self, member: str, since_ms: float) -> bool:
+        """True if a fault was injected into ``member``, or into all members, at ``since_ms`` or later."""
+        return any(event["t"] >= since_ms and event["member"] in (member, ALL_MEMBERS) for event in self.events)
 
-    def first_ms(self, default: float) -> float:
-        """When the first fault began; ``default`` if there was none."""
-        return min((event["t"] for event in self.events if event["what"] != END), default=default)
+    def first_fault_ms(self, default: float) -> float:
+        """Return the time of the first fault, or ``default`` if there was none."""
+        return min((event["t"] for event in self.events if event["what"] != ORDERLY_END), default=default)
--- a/lab/injected_faults.py
+++ b/lab/injected_faults.py
@@ -1,7 +1,7 @@
-"""The registry of injected faults: ways to break the program on purpose, to show that the checkers find them.
+"""The registry of injected faults: deliberate defects that the checkers must find.
 
-A module that has such faults registers them when it is imported, with :func:`register` or
-:func:`register_replacement`; :func:`inject` applies one to the classes of this process. Never used in service.
+A module with such faults registers them on import, with :func:`register` or :func:`register_replacement`.
+:func:`inject` applies a fault to the classes of the current process. Injected faults are never used in production.
 :mod:`lab.mutants` imports every module that registers faults.
 """
 
@@ -12,27 +12,27 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-Replacement = Callable[[Any], Any]  # gives the broken attribute for the original one
+Replacement = Callable[[Any], Any]  # returns the broken attribute, given the original one
 
 
 class UnknownFaultError(KeyError):
-    """No fault of this name is registered."""
+    """No fault with this name is registered."""
 
     def __init__(self, name: str) -> None:
-        """Name the fault asked for and those that there are."""
-        super().__init__(f"no injected fault is called {name!r}: {', '.join(_registry)}")
+        """Report the unknown ``name`` and the registered names."""
+        super().__init__(f"unknown injected fault {name!r}: expected one of {', '.join(_registry)}")
 
 
 class DuplicateFaultError(ValueError):
-    """Two faults were registered under one name."""
+    """Two faults were registered under the same name."""
 
     def __init__(self, name: str) -> None:
-        """Name the fault."""
-        super().__init__(f"an injected fault called {name!r} is registered already")
+        """Report the duplicate ``name``."""
+        super().__init__(f"injected fault {name!r} is already registered")
 
 
 class Patch(NamedTuple):
-    """One attribute of a class or module, and what it is replaced by."""
+    """An attribute of a class or module, and the value that replaces it."""
 
     owner: Any
     attribute: str
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InjectedFault:
-    """A known way to break the program; ``patches`` makes the replacements from the unbroken program."""
+    """A deliberate defect; ``patches`` creates the replacements from the intact program."""
 
     name: str
-    group: str  # the part of the program that it breaks: leases, routing, budgets, regions or orders
+    group: str  # the broken part of the program: leases, routing, budgets, regions or orders
     description: str
     patches: Callable[[], list[Patch]]
 
@@ -53,7 +53,7 @@
 
 
 def register(name: str, group: str, description: str, patches: Callable[[], list[Patch]]) -> None:
-    """Add a fault to the registry. DuplicateFaultError if its name is taken."""
+    """Add a fault to the registry. Raises DuplicateFaultError if the name is taken."""
     if name in _registry:
         raise DuplicateFaultError(name)
     _registry[name] = InjectedFault(name, group, description, patches)
@@ -62,7 +62,7 @@
 def register_replacement(
     name: str, group: str, description: str, owner: Any, attribute: str, replacement: Replacement
 ) -> None:
-    """Add a fault that replaces one attribute: ``replacement`` gets the original and returns the broken one."""
+    """Add a fault that replaces one attribute: ``replacement`` takes the original and returns the broken one."""
 
     def patches() -> list[Patch]:
         return [Patch(owner, attribute, replacement(owner.__dict__[attribute]))]
@@ -71,15 +71,15 @@
 
 
 def registered(group: str = "") -> dict[str, InjectedFault]:
-    """The faults of a group by name, in the order of registration; all of them if no group is given."""
+    """Return the faults of a group by name, in the order of registration; all faults if no group is given."""
     return {name: fault for name, fault in _registry.items() if group in ("", fault.group)}
 
 
 @contextlib.contextmanager
 def inject(name: str) -> Iterator[None]:
-    """Break the program with the fault ``name`` until the block ends; "" leaves it as it is.
+    """Apply the fault ``name`` until the block ends; "" applies none.
 
-    UnknownFaultError if no imported module has registered the fault.
+    Raises UnknownFaultError if no imported module has registered the fault.
     """
     if name and name not in _registry:
         raise UnknownFaultError(name)
--- a/lab/lease_faults.py
+++ b/lab/lease_faults.py
@@ -1,4 +1,4 @@
-"""Injected faults of the leases and of the duties that hang on them."""
+"""Injected faults of leases, and of the duties that depend on them."""
 
 from __future__ import annotations
 
@@ -15,117 +15,123 @@
 
 
 def _answers_without_quiet_time() -> list[Patch]:
-    def begin(self: node.LeaseNode) -> None:
+    def post_init_without_quiet_time(self: node.LeaseNode) -> None:
         original(self)
         self.quiet_until_ms = 0.0
         for acceptor in self.acceptors.values():
             acceptor.quiet_until_ms = 0.0
 
     original = node.LeaseNode.__post_init__
-    return [Patch(node.LeaseNode, "__post_init__", begin)]
+    return [Patch(node.LeaseNode, "__post_init__", post_init_without_quiet_time)]
 
 
 def _timer_starts_at_accept() -> list[Patch]:
-    def take(self: Proposer, now_ms: float) -> None:
+    def restart_timer(self: Proposer, now_ms: float) -> None:
         self.began_ms = now_ms
         original(self, now_ms)
 
     original = Proposer._take
-    return [Patch(Proposer, "_take", take)]
+    return [Patch(Proposer, "_take", restart_timer)]
 
 
 def _majority_of_live_members() -> list[Patch]:
-    """Members not heard from within a lease time are taken for dead, and not counted."""
+    """Assume that members not heard from within a lease time are dead, and leave them out of the majority."""
     last_heard_ms: dict[tuple[str, int], dict[str, float]] = {}
 
-    def receive(self: Proposer, now_ms: float, sender: str, message: LeaseMessage) -> Any:
+    def record_sender(self: Proposer, now_ms: float, sender: str, message: LeaseMessage) -> Any:
         last_heard_ms.setdefault((self.me, self.incarnation), {})[sender] = now_ms
         return original(self, now_ms, sender, message)
 
-    def enough(self: Proposer, members: frozenset[str]) -> bool:
-        times = last_heard_ms.get((self.me, self.incarnation), {})
-        now = max(times.values(), default=0.0)
-        alive = [member for member, heard_ms in times.items() if now - heard_ms < self.tuning.lease_ms]
+    def has_live_majority(self: Proposer, members: frozenset[str]) -> bool:
+        heard_by_member = last_heard_ms.get((self.me, self.incarnation), {})
+        latest_ms = max(heard_by_member.values(), default=0.0)
+        alive = [
+            member for member, heard_ms in heard_by_member.items() if latest_ms - heard_ms < self.tuning.lease_ms
+        ]
         return 2 * len(members) > len(alive)
 
     original = Proposer.receive
-    return [Patch(Proposer, "receive", receive), Patch(Proposer, "_enough", enough)]
+    return [Patch(Proposer, "receive", record_sender), Patch(Proposer, "_enough", has_live_majority)]
 
 
 def _acts_without_lease_check() -> list[Patch]:
-    """Who has ever held a lease goes on acting under its last token."""
+    """Let a member that has ever held a lease continue to act under its last token."""
     last_tokens: dict[tuple[str, int, str], int] = {}
 
-    def held(self: Proposer, now_ms: float, margin_ms: float | None = None) -> int | None:
+    def last_known_token(self: Proposer, now_ms: float, margin_ms: float | None = None) -> int | None:
         key = (self.me, self.incarnation, self.name)
         if self.token:
             last_tokens[key] = self.token
         return last_tokens.get(key)
 
-    return [Patch(Proposer, "held", held)]
+    return [Patch(Proposer, "held", last_known_token)]
 
 
 def _accepts_every_token() -> list[Patch]:
-    def take(self: Fence, name: str, token: int, holder: str) -> bool:
+    def accept_any(self: Fence, name: str, token: int, holder: str) -> bool:
         return True
 
-    return [Patch(Fence, "take", take)]
+    return [Patch(Fence, "take", accept_any)]
 
 
 def _accepts_without_promise() -> list[Patch]:
-    """An acceptor that has forgotten its promise accepts all the same, as in the paper: a promise from before
-    its restart, heard late, then counts though it no longer binds."""
+    """Let an acceptor accept a ballot although it has forgotten its promise, as in the paper.
 
-    def answer(self: Acceptor, now_ms: float, sender: str, request: LeaseMessage) -> Any:
+    A promise from before the acceptor's restart that arrives late is then counted, although it no longer binds.
+    """
+
+    def answer_without_promise(self: Acceptor, now_ms: float, sender: str, request: LeaseMessage) -> Any:
         if request.kind is Kind.PROPOSE and request.round >= (self.promised.round if self.promised else 0):
             self.promised = Ballot(request.round, request.incarnation, sender)
         return original(self, now_ms, sender, request)
 
     original = Acceptor.answer
-    return [Patch(Acceptor, "answer", answer)]
+    return [Patch(Acceptor, "answer", answer_without_promise)]
 
 
 def _uses_new_member_set_alone() -> list[Patch]:
-    """A proxy goes by the new declared set alone, at once."""
+    """Let a proxy use the new declared set alone, immediately."""
 
-    def bind(self: Proposer, sets: tuple[int, ...]) -> None:
+    def use_latest_set(self: Proposer, sets: tuple[int, ...]) -> None:
         if self.sets != sets[-1:]:
             self.sets, self.ballot, self.opened, self.accepts = sets[-1:], None, frozenset(), frozenset()
             self.give_up()
 
-    return [Patch(Proposer, "bind", bind)]
+    return [Patch(Proposer, "bind", use_latest_set)]
 
 
 def _rounds_restart_at_one() -> list[Patch]:
-    """Rounds begin at 1 after every start, and acceptors tell nobody what they know."""
+    """Begin rounds at 1 after every start, without what acceptors report of earlier rounds."""
 
-    def begin(self: node.LeaseNode) -> None:
+    def post_init_without_hint(self: node.LeaseNode) -> None:
         self.hint = 0
         original(self)
 
     original = node.LeaseNode.__post_init__
-    return [Patch(node.LeaseNode, "__post_init__", begin)]
+    return [Patch(node.LeaseNode, "__post_init__", post_init_without_hint)]
 
 
 def _no_takeover_of_silent_members() -> list[Patch]:
-    """Members count as alive whatever is heard of them, so nobody takes over the duties of a silent one."""
+    """Treat every member as alive, so that the duties of a silent member are not taken over."""
 
-    def always(self: DutyNode, name: str) -> bool:
+    def alive_always(self: DutyNode, name: str) -> bool:
         return True
 
-    def overdue(self: DutyNode, now_ms: float, duty: str, rank: int, owner: str) -> float:
+    def overdue_for_owner_only(self: DutyNode, now_ms: float, duty: str, rank: int, owner: str) -> float:
         return original(self, now_ms, duty, rank, owner) if rank == 0 else -1.0
 
     original = DutyNode._overdue
-    return [Patch(DutyNode, "_alive", always), Patch(DutyNode, "_sure", always), Patch(DutyNode, "_overdue", overdue)]
+    return [
+        Patch(DutyNode, "_alive", alive_always),
+        Patch(DutyNode, "_sure", alive_always),
+        Patch(DutyNode, "_overdue", overdue_for_owner_only),
+    ]
 
 
 register("no-quiet", GROUP, "an acceptor answers at once after a restart", _answers_without_quiet_time)
 register("timer-at-answer", GROUP, "the holder's timer starts when a majority has accepted", _timer_starts_at_accept)
-register(
-    "majority-of-living", GROUP, "a majority of the members heard from lately is enough", _majority_of_live_members
-)
-register("no-guard", GROUP, "acts go on under the last token without checking the lease", _acts_without_lease_check)
+register("majority-of-living", GROUP, "a majority of the recently heard members is enough", _majority_of_live_members)
+register("no-guard", GROUP, "acts continue under the last token without a lease check", _acts_without_lease_check)
 register("no-fence", GROUP, "a fence accepts every token", _accepts_every_token)
 register(
     "any-promise", GROUP, "an acceptor accepts a ballot that it promised before its restart", _accepts_without_promise
@@ -133,8 +139,8 @@
 register(
     "one-set",
     GROUP,
-    "the new declared member set counts alone from the moment it is heard of",
+    "the new declared member set is used alone as soon as it is known",
     _uses_new_member_set_alone,
 )
-register("no-takeover", GROUP, "the duties of a silent proxy are left to it", _no_takeover_of_silent_members)
+register("no-takeover", GROUP, "the duties of a silent proxy are not taken over", _no_takeover_of_silent_members)
 register("low-tokens", GROUP, "rounds begin at 1 after every start", _rounds_restart_at_one)
--- a/lab/model_checks.py
+++ b/lab/model_checks.py
@@ -76,8 +76,8 @@
     """The objects that were filled from several sources between two times."""
     sources: dict[str, set[str]] = {}
     for backend in testbed.backends:
-        for met in backend.met if isinstance(backend, BusyBackend) else ():
-            if met.source and not met.probe and after_ms < met.t < before_ms:
+        for met in backend.received_requests if isinstance(backend, BusyBackend) else ():
+            if met.source and not met.is_probe and after_ms < met.time_ms < before_ms:
                 sources.setdefault(met.target, set()).add(met.source)
     return sorted(target for target, names in sources.items() if len(names) > 1)
 
--- a/lab/mutants.py
+++ b/lab/mutants.py
@@ -1,6 +1,7 @@
-"""``python -m lab.mutants NAME``: a proxy with an injected fault, for the process scenarios. Never in service.
+"""``python -m lab.mutants NAME``: a proxy with an injected fault, for the scenarios. Never used in production.
 
-Imports every module that registers injected faults; :func:`lab.injected_faults.registered` then has all of them.
+The module imports every module that registers injected faults, so that :func:`lab.injected_faults.registered`
+returns all of them.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 
 
 def all_faults() -> dict[str, InjectedFault]:
-    """Every injected fault of the lab, by name."""
+    """Return every injected fault by name."""
     return registered()
 
 
 def main() -> int:
-    """Serve as a proxy with the fault that the first argument names; its exit code."""
+    """Run a proxy with the fault named by the first argument, and return its exit code."""
     from beechslip.platform.confine import confine
     from beechslip.process import main as serve
 
--- a/lab/ports.py
+++ b/lab/ports.py
@@ -1,8 +1,8 @@
-"""Free ports on loopback, drawn so that concurrent processes never have the same one.
+"""Free loopback ports, chosen so that concurrent processes never get the same one.
 
-A port that is free now may be bound by another process before a proxy that was to have it has started, or while
-that proxy restarts. Each process therefore locks the byte of a shared file that has the port's number; the kernel
-ends the locks with the process.
+A port that is free now may be bound by another process before the proxy that it is meant for has started, or while
+that proxy restarts. Each process therefore locks the byte at the port's number in a shared file; the kernel releases
+the locks when the process ends.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from pathlib import Path
 
 FIRST_PORT = 15_000
-LAST_PORT = 32_000  # the system's ephemeral ports begin above
+LAST_PORT = 32_000  # the ephemeral ports of the system begin above
 _drawn_ports: set[int] = set()
-_random = random.SystemRandom()  # processes that a pool has forked must not draw the same ports
+_port_random = random.SystemRandom()  # forked pool processes must not draw the same ports
 
 
 def free_port() -> int:
-    """A free TCP and UDP port, never the same twice in this process or in one that runs beside it."""
+    """Return a port that is free for TCP and UDP, and that no concurrent process and no earlier call got."""
     while True:
-        port = _random.randrange(FIRST_PORT, LAST_PORT)
+        port = _port_random.randrange(FIRST_PORT, LAST_PORT)
         if port in _drawn_ports or not _reserve(port):
             continue
         _drawn_ports.add(port)
@@ -34,15 +34,15 @@
 
 
 @functools.cache
-def _lock_file() -> int:
+def _lock_file_descriptor() -> int:
     path = Path(tempfile.gettempdir()) / f"beechslip-ports-{os.getuid()}.lock"
     return os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
 
 
 def _reserve(port: int) -> bool:
-    """Whether the port's byte could be locked; the lock is held until this process ends."""
+    """True if the byte of the port could be locked; the lock is held until this process ends."""
     with contextlib.suppress(OSError):
-        fcntl.lockf(_lock_file(), fcntl.LOCK_EX | fcntl.LOCK_NB, 1, port)
+        fcntl.lockf(_lock_file_descriptor(), fcntl.LOCK_EX | fcntl.LOCK_NB, 1, port)
         return True
     return False
 
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -1,6 +1,6 @@
-"""A proxy as a process of the lab: started, killed, stopped, and never left behind.
+"""Proxy processes of the test bench, which are started, signalled and never left running.
 
-The kernel kills it when the lab dies (``PR_SET_PDEATHSIG``), however the lab ends.
+The kernel kills them when the test bench ends (``PR_SET_PDEATHSIG``), however it ends.
 """
 
 from __future__ import annotations
@@ -21,17 +21,18 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PR_SET_PDEATHSIG = 1
-PROGRAM_VARIABLES = ("EDGE_", "BEECHSLIP_")  # prefixes; a process of the lab is given its own
+PROGRAM_VARIABLES = ("EDGE_", "BEECHSLIP_")  # prefixes of variables that are not inherited
 _libc = ctypes.CDLL(None)
 
 
-async def spawn(
+async def spawn_python(
     arguments: Sequence[str], log: Path | str, file_limit: int = 0, **env: str
 ) -> asyncio.subprocess.Process:
-    """Start ``python ARGUMENTS`` from the root with standard error appended to ``log``; it dies with the lab.
+    """Start ``python ARGUMENTS`` in the root folder with standard error appended to ``log``.
 
-    ``file_limit``: bytes that any file it writes may have (0: no limit). ``env`` is added to an environment that has
-    none of the program's own variables. OSError if it can't be started.
+    The process is killed when the test bench ends. ``file_limit`` is the maximum size in bytes of a file that it
+    writes (0: no limit). ``env`` is added to the inherited environment without the program's own variables. Raises
+    OSError if the process can't be started.
     """
 
     def before_exec() -> None:
@@ -54,17 +55,17 @@
 
 
 def steady_ms() -> float:
-    """The clock that histories are written by: the proxies' own, of this one machine."""
+    """Return the time in ms of the clock of histories, which all processes of this machine share."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 class ProxyProcess:
-    """One member of the fleet; it may be started, ended and started again."""
+    """A member of the fleet, which may be started, ended and restarted."""
 
     def __init__(
         self, number: int, folder: Path, config: dict[str, Any], fleet_toml: str, injected_fault: str, ops_port: int
     ) -> None:
-        """Write nothing and start nothing yet; ``config`` and ``fleet_toml`` are the contents of its files."""
+        """Prepare the process without starting it; ``config`` and ``fleet_toml`` are the contents of its files."""
         self.number = number
         self.name = f"d{number}"
         self.folder = folder
@@ -72,42 +73,42 @@
         self.fleet_toml = fleet_toml
         self.injected_fault = injected_fault
         self.ops_port = ops_port
-        self.stderr = ""  # a path to write it to in place of the folder's log; /dev/full is a full disk
-        self.file_limit = 0  # bytes that any file it writes may have; 0: no limit
+        self.stderr = ""  # path for standard error instead of the log in the folder; /dev/full: a full disk
+        self.file_limit = 0  # maximum size of a file that it writes; 0: no limit
         self.process: asyncio.subprocess.Process | None = None
-        self.stopped = False
-        self.starts = 0
-        self.answered_start = 0  # the last of its starts after which it has answered somebody
-        self.codes: list[int | None] = []  # how it ended, each time
+        self.is_stopped = False
+        self.start_count = 0
+        self.last_answered_start = 0  # number of its last start after which it has responded to a request
+        self.exit_codes: list[int | None] = []  # one for each time that it ended
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
-    def alive(self) -> bool:
-        """Whether it has been started and has not ended; a stopped process is alive."""
+    def is_alive(self) -> bool:
+        """True if it has been started and has not ended; a stopped process is alive."""
         return self.process is not None and self.process.returncode is None
 
     @property
     def port(self) -> int:
-        """Where it listens for clients, on loopback."""
+        """The loopback port on which it listens for clients."""
         return int(self.config["listen"].split(":")[1])
 
     @property
-    def history(self) -> Path:
-        """The file to which it writes its events."""
+    def history_path(self) -> Path:
+        """The file to which it writes its history."""
         return self.folder / "history.jsonl"
 
-    def write(self) -> None:
-        """Write its configuration files."""
+    def write_config_files(self) -> None:
+        """Write the configuration files."""
         (self.folder / "config.json").write_bytes(orjson.dumps(self.config))
         (self.folder / "fleet.toml").write_text(self.fleet_toml)
 
     async def start(self) -> None:
-        """Start it, with its files as they are now; nothing if it runs."""
-        if self.alive:
+        """Start the process with its current configuration; do nothing if it is running."""
+        if self.is_alive:
             return
-        self.write()
+        self.write_config_files()
         program = ["-m", "lab.mutants", self.injected_fault] if self.injected_fault else ["-m", "beechslip"]
-        self.process = await spawn(
+        self.process = await spawn_python(
             program,
             self.stderr or self.folder / "log.txt",
             self.file_limit,
@@ -116,36 +117,36 @@
             EDGE_OPS=f"127.0.0.1:{self.ops_port}",
             EDGE_NAME=self.name,
         )
-        self.starts += 1
-        self.stopped = False
+        self.start_count += 1
+        self.is_stopped = False
 
-    def send(self, number: signal.Signals) -> None:
-        """Send it a signal; nothing if it has ended."""
-        if self.process is not None and self.alive:
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process; do nothing if it has ended."""
+        if self.process is not None and self.is_alive:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
             if number in (signal.SIGSTOP, signal.SIGCONT):
-                self.stopped = number is signal.SIGSTOP
+                self.is_stopped = number is signal.SIGSTOP
 
     async def end(self, number: signal.Signals = signal.SIGKILL, wait_s: float = 10.0) -> int | None:
-        """Signal it and wait for its end; SIGKILL after ``wait_s``."""
-        if self.process is None or not self.alive:
+        """Send a signal and wait until the process has ended, with SIGKILL after ``wait_s``. Return its exit code."""
+        if self.process is None or not self.is_alive:
             return None
-        if self.stopped and number is not signal.SIGKILL:
-            self.send(signal.SIGCONT)
-        self.send(number)
+        if self.is_stopped and number is not signal.SIGKILL:
+            self.send_signal(signal.SIGCONT)
+        self.send_signal(number)
         try:
             code = await asyncio.wait_for(self.process.wait(), wait_s)
         except TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             code = await self.process.wait()
-        self.codes.append(code)
+        self.exit_codes.append(code)
         return code
 
-    def events(self) -> list[dict[str, Any]]:
-        """Its history so far; a line cut short by a kill or a full disk is skipped."""
+    def read_events(self) -> list[dict[str, Any]]:
+        """Return its history so far; a line that was truncated by a kill or a full disk is skipped."""
         try:
-            lines = self.history.read_bytes().splitlines()
+            lines = self.history_path.read_bytes().splitlines()
         except FileNotFoundError:
             return []
         events = []
@@ -154,8 +155,8 @@
                 events.append(orjson.loads(line))
         return events
 
-    def counters(self) -> dict[str, int]:
-        """The counters of its last orderly end, from its log; {} if it has none."""
+    def read_counters(self) -> dict[str, int]:
+        """Return the counters that it logged at its last graceful shutdown; {} if there are none."""
         try:
             text = (self.folder / "log.txt").read_text(errors="replace")
         except FileNotFoundError:
--- a/lab/proxy_config.py
+++ b/lab/proxy_config.py
@@ -1,4 +1,4 @@
-"""The configuration files of a scenario's proxies."""
+"""The contents of the configuration files of a scenario's proxies."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from pathlib import Path
 from typing import Any
 
-from lab.scenario import Scenario, toml_value
+from lab.scenario import Scenario, format_toml_value
 from lab.stand import SETTINGS
 
 PROXY_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-SHORT_TIMEOUT_S = 1.0  # of idle connections and of a failing backend, where the scenario sets short deadlines
+SHORT_TIMEOUT_S = 1.0  # for idle connections and failing backends, where the scenario sets short deadlines
 
 
 def proxy_settings(scenario: Scenario, number: int, zones: Sequence[int]) -> dict[str, Any]:
-    """The routing settings of proxy ``number``; ``zones`` has the zone of each proxy."""
+    """Return the routing settings of proxy ``number``; ``zones`` is the zone of each proxy."""
     size = len(zones)
     settings = copy.deepcopy(SETTINGS)
     settings["me"] = number
     settings["balancers"] = size
-    facts = settings["specifics"]
-    facts["instancesByZone"] = [0, size]
+    specifics = settings["specifics"]
+    specifics["instancesByZone"] = [0, size]
     if max(zones):
-        edges = range(max(zones) + 1)
-        settings["dcs"] = ["north", *(f"edge-{edge + 1}" for edge in edges)]
+        edge_zones = range(max(zones) + 1)
+        settings["dcs"] = ["north", *(f"edge-{edge + 1}" for edge in edge_zones)]
         settings["myZone"] = f"edge-{zones[number] + 1}"
-        facts["instancesByZone"] = [0, *(zones.count(edge) for edge in edges)]
-        facts["attachedTo"] = [0] * (len(edges) + 1)
+        specifics["instancesByZone"] = [0, *(zones.count(edge) for edge in edge_zones)]
+        specifics["attachedTo"] = [0] * (len(edge_zones) + 1)
     if scenario.deadline_s:
         for rule in settings["classes"]:
             rule["giveUp"] = scenario.deadline_s
@@ -37,9 +37,9 @@
 
 
 def fleet_toml(scenario: Scenario, history: Path, declared: int, amounts: Mapping[str, float]) -> str:
-    """A member's ``fleet.toml``: the scenario's tables over the defaults.
+    """Return the text of a member's ``fleet.toml``: the defaults, overridden by the scenario's tables.
 
-    ``declared`` is the size of the declared member set; ``amounts`` replace those of the budgets.
+    ``declared`` is the size of the declared member set; ``amounts`` replace those of the table ``budgets``.
     """
     lines = ["enabled = true", 'name = "lab"', "tick_ms = 20", f'history = "{history}"']
     tables = {name: dict(table) for name, table in scenario.tables.items()}
@@ -51,5 +51,5 @@
             tables["leases"]["before"] = scenario.members
     for name, table in tables.items():
         lines.append(f"[{name}]")
-        lines += [f"{key} = {toml_value(value)}" for key, value in table.items()]
+        lines += [f"{key} = {format_toml_value(value)}" for key, value in table.items()]
     return "\n".join(lines) + "\n"
--- a/lab/region_checker.py
+++ b/lab/region_checker.py
@@ -8,7 +8,7 @@
 
 from beechslip.regions.guards import within_guards
 from beechslip.regions.status import RegionState, RegionStatus
-from lab.check import MOST_KEPT, Violation
+from lab.check import MAX_VIOLATIONS, Violation
 
 Version = tuple[int, int]
 """Token and epoch of an order."""
@@ -19,7 +19,7 @@
 
 @dataclass
 class RegionChecker:
-    """Feed it the events of a history by rising time; ``violations`` has what was found, at most ``MOST_KEPT``.
+    """Feed it the events of a history by rising time; ``violations`` has what was found, at most ``MAX_VIOLATIONS``.
 
     Rules: ``older-taken`` (a proxy goes from an order to an older one), ``two-tables`` (one order, two tables),
     ``over-guard`` (more out than may be), ``order-unheld`` (made by a member that does not hold the lease),
@@ -100,5 +100,5 @@
                 return
 
     def _report(self, rule: str, event: Mapping[str, Any], text: str) -> None:
-        if len(self.violations) < MOST_KEPT:
+        if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(Violation(rule, event["t"], text))
--- a/lab/region_trials.py
+++ b/lab/region_trials.py
@@ -31,5 +31,5 @@
         fleet.regions.orders,
         fleet.regions.changeovers,
         fleet.regions.max_away,
-        tuple(f"{violation.rule} at {violation.t:.0f} ms: {violation.text}" for violation in found),
+        tuple(f"{violation.rule} at {violation.time_ms:.0f} ms: {violation.text}" for violation in found),
     )
--- a/lab/report.py
+++ b/lab/report.py
@@ -1,4 +1,4 @@
-"""Results of runs as JSON, CSV and a timeline chart of members, faults and holders."""
+"""Results of runs as JSON, CSV and a timeline chart of members, faults and lease holders."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 
 from lab.result import Result
 
-COLOURS = ("tab:blue", "tab:orange", "tab:green", "tab:red", "tab:purple", "tab:brown", "tab:pink", "tab:olive")
-MAX_VERDICT = 80  # characters in a table
-STORED_FAULT_KEY = "plant"  # the injected fault in result.json, as earlier runs have written it
+LEASE_COLOURS = ("tab:blue", "tab:orange", "tab:green", "tab:red", "tab:purple", "tab:brown", "tab:pink", "tab:olive")
+MAX_VERDICT_CHARS = 80  # in a table row
+STORED_FAULT_KEY = "plant"  # key of the injected fault in result.json, kept for the files of earlier runs
 
 
-def write(result: Result, folder: Path) -> None:
-    """``result.json``, ``history.csv`` and ``timeline.png`` in ``folder``."""
+def write_result(result: Result, folder: Path) -> None:
+    """Write ``result.json``, ``history.csv`` and ``timeline.png`` to ``folder``."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / "result.json").write_bytes(orjson.dumps(_stored(result), option=orjson.OPT_INDENT_2))
+    (folder / "result.json").write_bytes(orjson.dumps(_to_json_values(result), option=orjson.OPT_INDENT_2))
     with open(folder / "history.csv", "w", newline="") as file:
         columns = ["t", "member", "life", "kind", "name", "token", "until", "checked", "holder", "what"]
         table = csv.DictWriter(file, columns, extrasaction="ignore")
         table.writeheader()
         table.writerows(result.events)
-    timeline(result, folder / "timeline.png")
+    draw_timeline(result, folder / "timeline.png")
 
 
-def read(folder: Path) -> list[Result]:
-    """The results below ``folder``; ValueError for a file that is none."""
+def read_results(folder: Path) -> list[Result]:
+    """Return the results found below ``folder``. Raises ValueError for an invalid result file."""
     results = []
     for path in sorted(folder.rglob("result.json")):
         try:
-            results.append(_restored(orjson.loads(path.read_bytes())))
+            results.append(_from_json_values(orjson.loads(path.read_bytes())))
         except (TypeError, KeyError, orjson.JSONDecodeError) as error:
-            raise ValueError(f"{path}: not a result: {error}") from None
+            raise ValueError(f"{path}: invalid result file: {error}") from None
     return results
 
 
-def _stored(result: Result) -> dict[str, Any]:
-    """The JSON form of a result."""
+def _to_json_values(result: Result) -> dict[str, Any]:
+    """Return the JSON form of a result."""
     values = dataclasses.asdict(result)
     values[STORED_FAULT_KEY] = values.pop("injected_fault")
     return values
 
 
-def _restored(values: dict[str, Any]) -> Result:
-    """The result of its JSON form; TypeError or KeyError if it is none."""
+def _from_json_values(values: dict[str, Any]) -> Result:
+    """Return the result for its JSON form. Raises TypeError or KeyError if it is not one."""
     values["injected_fault"] = values.pop(STORED_FAULT_KEY)
     return Result(**values)
 
 
-def timeline(result: Result, path: Path) -> None:
-    """Draw a row a member: held leases as bars, one lane a lease, faults as marks."""
+def draw_timeline(result: Result, path: Path) -> None:
+    """Draw a row for each member: held leases as bars, in one lane for each lease, and faults as marks."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -65,7 +65,7 @@
     for event in result.events:
         _draw_event(axes, event, result.began_ms, members, leases)
     for lane, lease in enumerate(leases):
-        axes.barh(0, 0, color=COLOURS[lane % len(COLOURS)], alpha=0.5, label=lease)
+        axes.barh(0, 0, color=LEASE_COLOURS[lane % len(LEASE_COLOURS)], alpha=0.5, label=lease)
     axes.set(
         yticks=range(len(members)),
         yticklabels=members,
@@ -105,23 +105,26 @@
         (event["until"] - event["t"]) / 1000,
         left=at_s,
         height=height,
-        color=COLOURS[lane % len(COLOURS)],
+        color=LEASE_COLOURS[lane % len(LEASE_COLOURS)],
         alpha=0.35,
         linewidth=0,
     )
 
 
-def rows(results: list[Result]) -> list[tuple[str, ...]]:
-    """A table row a result: scenario, injected fault, verdict, holds, handovers, acts taken and rejected, answers."""
-    return [_row(result) for result in results]
+def table_rows(results: list[Result]) -> list[tuple[str, ...]]:
+    """Return a table row for each result.
 
+    Columns: scenario, injected fault, verdict, holds, handovers, acts taken, acts rejected, answers.
+    """
+    return [_table_row(result) for result in results]
 
-def _row(result: Result) -> tuple[str, ...]:
+
+def _table_row(result: Result) -> tuple[str, ...]:
     counts = result.counts
     return (
         result.name,
         result.injected_fault or "-",
-        "; ".join(result.failed)[:MAX_VERDICT] if result.failed else "passed",
+        "; ".join(result.failed)[:MAX_VERDICT_CHARS] if result.failed else "passed",
         str(counts.get("hold", 0)),
         str(counts.get("handovers", 0)),
         str(counts.get("took", 0)),
--- a/lab/result.py
+++ b/lab/result.py
@@ -1,4 +1,4 @@
-"""What a run of a scenario has shown."""
+"""The result of a scenario run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 @dataclass
 class Result:
-    """``failed`` says why the run does not pass, and is empty if it does. Times are of the lab's clock, in ms."""
+    """The result of one run.
+
+    ``failed`` lists the reasons why the run failed, and is empty if it passed. Times are of the test bench's clock,
+    in ms.
+    """
 
     name: str
     injected_fault: str
@@ -23,4 +27,4 @@
     events: list[dict[str, Any]]
     began_ms: float
     ended_ms: float
-    used: dict[str, float] = field(default_factory=dict)  # by budget: the most in use at once, as a part of it
+    used: dict[str, float] = field(default_factory=dict)  # by budget: the most in use at once, as a fraction
--- a/lab/routing_faults.py
+++ b/lab/routing_faults.py
@@ -1,4 +1,4 @@
-"""Injected faults of the routing decisions."""
+"""Injected faults of routing decisions."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from beechslip.routing.state import Backend, OpenRequest
 from lab.injected_faults import Patch, register
 
-SALT_BITS = 60
+HASH_SALT_BITS = 60
 
 
 def _hash_per_proxy() -> list[Patch]:
-    """Each proxy ranks parents by an order of its own, so that an object's fills meet at several."""
+    """Rank the parents by a hash of each proxy's own, so that an object is filled through several parents."""
 
     def ranked_parents(self: EndpointTable, request: OpenRequest) -> Iterator[Backend]:
-        salt = self.__dict__.setdefault("own_salt", secrets.randbits(SALT_BITS))
-        places = self.parent_order.best_first(request.source_key ^ salt)
-        return (self.parents[place] for place in places)
+        salt = self.__dict__.setdefault("own_salt", secrets.randbits(HASH_SALT_BITS))
+        ranked_indices = self.parent_order.best_first(request.source_key ^ salt)
+        return (self.parents[index] for index in ranked_indices)
 
     return [Patch(EndpointTable, "ranked_parents", ranked_parents)]
 
 
-register("own-hash", "routing", "parents are hashed by each proxy alone", _hash_per_proxy)
+register("own-hash", "routing", "each proxy ranks the parents by its own hash", _hash_per_proxy)
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -1,6 +1,6 @@
-"""Scenarios: members, load, a seeded schedule of faults and what must hold, as TOML files.
+"""Scenario files in TOML: members, load, a seeded schedule of faults, and the requirements on the run.
 
-Errors name file and key. What each key means is in ``docs/design/lab.md``.
+Errors name the file and the key. ``docs/design/lab.md`` describes the keys.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 from beechslip.config import ConfigError
 from beechslip.fleet.settings import Table
-from lab.relay import Weather
-
-MOST_MEMBERS = 20
-MOST_S = 120.0
-MOST_REQUESTS = 20_000
-MOST_REQUESTS_PER_S = 500.0
-MOST_COUNT = 1_000_000
-MOST_REGIONS_OUT = 100
-MOST_WORK_MS = 5_000.0
-MOST_DEADLINE_S = 60.0
-MOST_HUBS = 8
-MOST_DELAY_MS = 5_000.0
-MOST_LATE_MS = 30_000.0
-MOST_WEIGHT = 1e6
+from lab.relay import DatagramFaults
+
+MAX_MEMBERS = 20
+MAX_SECONDS = 120.0
+MAX_REQUESTS = 20_000
+MAX_REQUESTS_PER_S = 500.0
+MAX_COUNT = 1_000_000
+MAX_REGIONS_OUT = 100
+MAX_WORK_MS = 5_000.0
+MAX_DEADLINE_S = 60.0
+MAX_HUBS = 8
+MAX_DELAY_MS = 5_000.0
+MAX_LATE_MS = 30_000.0
+MAX_WEIGHT = 1e6
 DEFAULT_DURATION_S = 8.0
 DEFAULT_MEMBERS = 5
-FROM_ZERO = -1e-9  # a lower bound that lets 0 pass, as bounds themselves are excluded
+JUST_BELOW_ZERO = -1e-9  # a lower bound that accepts 0, because bounds themselves are excluded
 
 SCENARIO_KEYS = (
     "name",
@@ -63,7 +63,7 @@
     "depot",
     "amounts",
 )
-MUST_KEYS = (
+REQUIREMENT_KEYS = (
     "holds",
     "handovers",
     "turned_down",
@@ -100,88 +100,92 @@
     "purge",
     "say",
 )
-ACTIONS_ON_NOBODY = ("cut", "heal", "weather", "load", "cold", "zone", "purge")
+ACTIONS_WITHOUT_TARGETS = ("cut", "heal", "weather", "load", "cold", "zone", "purge")
 ACTIONS_WITH_SIDES = ("cut", "oneway")
-ACTIONS_ON_A_BACKEND = ("cold", "zone", "say")
+ACTIONS_ON_ONE_BACKEND = ("cold", "zone", "say")
 BACKEND_FAULTS = ("", "fail", "slow", "dead", "cut")
-RELAY_FAULTS = ("silence", "reset")  # or bytes a second
+RELAY_FAULTS = ("silence", "reset")  # or a number of bytes per second
 DISK_FAULTS = ("log-full", "file-limit")
 FLEET_TABLES = ("leases", "census", "duties", "membership", "budgets", "regions")
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """One entry of the schedule of faults.
+class ScheduledFault:
+    """One entry of the fault schedule.
 
-    At ``at_s`` after all are ready, ``do`` it to ``who`` (``dN``, ``all``, ``holder:NAME``, ``others:NAME``),
-    one after another ``each_s`` apart, and undo it ``for_s`` later (0: never).
+    ``action`` is applied ``at_s`` seconds after all proxies are healthy. Its ``targets`` are ``dN`` (a member),
+    ``all``, ``holder:NAME`` (the holder of a lease) or ``others:NAME`` (all but the holder), one after another
+    ``interval_s`` apart. It is undone ``undo_after_s`` later (0: never).
     """
 
     at_s: float
-    do: str
-    who: tuple[str, ...] = ()
-    for_s: float = 0.0
-    each_s: float = 0.0
-    in_act: bool = False  # wait until a holder is between its check and its act
+    action: str
+    targets: tuple[str, ...] = ()
+    undo_after_s: float = 0.0
+    interval_s: float = 0.0
+    is_mid_act: bool = False  # wait until the holder is between its lease check and the effect of its act
     sides: tuple[tuple[int, ...], ...] = ()
-    weather: Weather = field(default_factory=Weather)
-    size: int = 0
-    how: str = ""  # of a relay to a backend or the change log: silence, reset, or bytes a second
-    weights: tuple[float, ...] = ()  # load: the members' parts of it from now on
-    backend: str = ""  # cold: which one; zone: a backend or a zone's; backend: of this zone alone; say: a region
-    amounts: Mapping[str, float] = field(default_factory=dict)  # of the table budgets, by SIGHUP
+    datagram_faults: DatagramFaults = field(default_factory=DatagramFaults)
+    numeric_argument: int = 0  # declare: size of the member set; purge: the group; say: the operator
+    # zone: a backend fault; depot and log: silence, reset or bytes per second of the relay; say: the operator's order
+    mode: str = ""
+    weights: tuple[float, ...] = ()  # load: the members' shares of the load from now on
+    # cold: the backend; zone: a backend or all of a zone; depot: a backend or a zone, "" for all; say: the region
+    backend: str = ""
+    amounts: Mapping[str, float] = field(default_factory=dict)  # new values of the table budgets, applied by SIGHUP
 
 
 @dataclass(frozen=True, slots=True)
-class Must:
-    """What the run must show besides the rules that hold always: least counts, generous for any machine."""
-
-    holds: int = 1  # tenures, over all leases
-    handovers: int = 0
-    rejected_acts: int = 0  # by fences (key: turned_down)
-    census: bool = False  # at the end all that live have one census that counts all that live
-    answered: bool = True  # every request of the load has exactly one final answer
-    probe_gap_s: float = 0.0  # no backend goes unprobed for longer, from 3 s after the start; 0: not judged
-    tokens: bool = True  # tokens rise from holder to holder
-    used: Mapping[str, float] = field(default_factory=dict)  # by kind of budget: the least part in use at once
-    away: int = 0  # least number of regions that were out at once
-    back: bool = False  # at the end all regions have all of their load, everywhere
-    said: tuple[str, ...] = ()  # how the answers to operators begin, in order
-    served: float = 0.0  # least part of the load that was answered with 200
+class Requirements:
+    """Requirements on a run besides the rules that always hold. The minimum counts are low enough for any machine."""
+
+    min_holds: int = 1  # tenures of all leases
+    min_handovers: int = 0  # of all leases
+    min_rejected_acts: int = 0  # acts rejected by fences (key: turned_down)
+    has_common_census: bool = False  # at the end all live members have one census that counts all of them
+    has_all_answers: bool = True  # every request of the load has exactly one final response
+    max_probe_gap_s: float = 0.0  # of every backend, from 3 s after the start; 0: not checked
+    has_rising_tokens: bool = True  # tokens rise from holder to holder
+    # By kind of budget: the fraction of it that must have been in use at once.
+    min_budget_use: Mapping[str, float] = field(default_factory=dict)
+    min_regions_away: int = 0  # regions that were out at the same time
+    has_all_regions_back: bool = False  # at the end all proxies send every region its full load
+    operator_answer_prefixes: tuple[str, ...] = ()  # starts of the responses to operators' orders, in order
+    min_served_ratio: float = 0.0  # fraction of the load that was answered with 200
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One scenario file, checked."""
+    """The validated contents of one scenario file."""
 
     name: str
     about: str
     seed: int
     members: int
-    spare: int  # declared later
+    spare: int  # members that are declared later
     duration_s: float
     tables: Mapping[str, Mapping[str, Any]]
     rps: float
     requests: int
-    faults: tuple[Fault, ...]
-    must: Must
-    disks: Mapping[int, str] = field(default_factory=dict)  # by member: log-full or file-limit
-    injected_faults: tuple[str, ...] = ()  # that this scenario is shown to find (key: plants)
-    zones: tuple[int, ...] = ()  # by member: its edge zone; empty: all in the first
-    weights: tuple[float, ...] = ()  # by member: its part of the load; empty: even parts
-    work_ms: float = 0.0  # what a backend takes for a request; 0: it answers at once
-    deadline_s: float = 0.0  # of all classes; 0: as the settings have it
-    hubs: int = 0  # each in a zone of its own; 0: two in one zone
+    faults: tuple[ScheduledFault, ...]
+    requirements: Requirements
+    disk_faults: Mapping[int, str] = field(default_factory=dict)  # by member: log-full or file-limit
+    injected_faults: tuple[str, ...] = ()  # faults that this scenario must detect (key: plants)
+    zones: tuple[int, ...] = ()  # edge zone by member; empty: all in the first zone
+    weights: tuple[float, ...] = ()  # share of the load by member; empty: equal shares
+    work_ms: float = 0.0  # time that a backend takes for a request; 0: it responds at once
+    deadline_s: float = 0.0  # deadline of all request classes; 0: as in the settings
+    hubs: int = 0  # number of hubs, each in its own zone; 0: two hubs in one zone
 
 
 def read_scenario(path: Path) -> Scenario:
-    """The file's scenario; ConfigError that names file and key if it can't be run."""
+    """Return the scenario of a file. Raises ConfigError, which names file and key, if the file is invalid."""
     try:
         values = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise ConfigError(f"{path.name}: {error}") from None
     table = Table(path.name, values, SCENARIO_KEYS)
-    members, spare = _sizes(table)
+    members, spare = _parse_member_counts(table)
     size = members + spare
     load = Table(f"{path.name}: load", values.get("load", {}), ("rps", "requests", "weights"))
     backends = Table(f"{path.name}: depots", values.get("depots", {}), ("work_ms", "deadline_s", "hubs"))
@@ -191,32 +195,32 @@
         seed=table.whole("seed", 1, 0, 1 << 31),
         members=members,
         spare=spare,
-        duration_s=table.number("duration_s", DEFAULT_DURATION_S, most=MOST_S),
-        tables=_fleet_tables(path.name, values.get("fleet", {})),
-        rps=load.number("rps", 0.0, least=FROM_ZERO, most=MOST_REQUESTS_PER_S),
-        requests=load.whole("requests", 0, 0, MOST_REQUESTS),
-        faults=_faults(table, values.get("fault", []), size),
-        must=_must(path.name, values.get("must", {})),
-        disks=_disks(path.name, values.get("disk", []), size),
+        duration_s=table.number("duration_s", DEFAULT_DURATION_S, most=MAX_SECONDS),
+        tables=_parse_fleet_tables(path.name, values.get("fleet", {})),
+        rps=load.number("rps", 0.0, least=JUST_BELOW_ZERO, most=MAX_REQUESTS_PER_S),
+        requests=load.whole("requests", 0, 0, MAX_REQUESTS),
+        faults=_parse_faults(table, values.get("fault", []), size),
+        requirements=_parse_requirements(path.name, values.get("must", {})),
+        disk_faults=_parse_disk_faults(path.name, values.get("disk", []), size),
         injected_faults=table.texts("plants"),
-        zones=_zones(table, values, size),
-        weights=_numbers(load, "weights", values.get("load", {})),
-        work_ms=backends.number("work_ms", 0.0, least=FROM_ZERO, most=MOST_WORK_MS),
-        deadline_s=backends.number("deadline_s", 0.0, least=FROM_ZERO, most=MOST_DEADLINE_S),
-        hubs=backends.whole("hubs", 0, 0, MOST_HUBS),
+        zones=_parse_zones(table, values, size),
+        weights=_parse_numbers(load, "weights", values.get("load", {})),
+        work_ms=backends.number("work_ms", 0.0, least=JUST_BELOW_ZERO, most=MAX_WORK_MS),
+        deadline_s=backends.number("deadline_s", 0.0, least=JUST_BELOW_ZERO, most=MAX_DEADLINE_S),
+        hubs=backends.whole("hubs", 0, 0, MAX_HUBS),
     )
 
 
-def _sizes(table: Table) -> tuple[int, int]:
-    """Members at the start, and those that are declared later."""
-    members = table.whole("members", DEFAULT_MEMBERS, 1, MOST_MEMBERS)
-    spare = table.whole("spare", 0, 0, MOST_MEMBERS)
-    if members + spare > MOST_MEMBERS:
-        raise table.fail("spare", f"and members are {members + spare}, more than {MOST_MEMBERS}")
+def _parse_member_counts(table: Table) -> tuple[int, int]:
+    """Return the number of members at the start, and of those that are declared later."""
+    members = table.whole("members", DEFAULT_MEMBERS, 1, MAX_MEMBERS)
+    spare = table.whole("spare", 0, 0, MAX_MEMBERS)
+    if members + spare > MAX_MEMBERS:
+        raise table.fail("spare", f"plus members is {members + spare}; expected at most {MAX_MEMBERS}")
     return members, spare
 
 
-def _fleet_tables(file: str, tables: Any) -> Mapping[str, Mapping[str, Any]]:
+def _parse_fleet_tables(file: str, tables: Any) -> Mapping[str, Mapping[str, Any]]:
     Table(f"{file}: fleet", tables, FLEET_TABLES)
     for name, table in tables.items():
         if not isinstance(table, Mapping):
@@ -225,79 +229,79 @@
     return checked
 
 
-def _zones(table: Table, values: Mapping[str, Any], size: int) -> tuple[int, ...]:
-    zones = _numbers(table, "zones", values)
+def _parse_zones(table: Table, values: Mapping[str, Any], size: int) -> tuple[int, ...]:
+    zones = _parse_numbers(table, "zones", values)
     if zones and len(zones) != size:
-        raise table.fail("zones", f"names {len(zones)} members, there are {size}")
+        raise table.fail("zones", f"has {len(zones)} entries; expected one for each of the {size} members")
     return tuple(int(zone) for zone in zones)
 
 
-def _disks(file: str, entries: Any, size: int) -> Mapping[int, str]:
-    disks: dict[int, str] = {}
+def _parse_disk_faults(file: str, entries: Any, size: int) -> Mapping[int, str]:
+    disk_faults: dict[int, str] = {}
     for number, entry in enumerate(entries):
         disk = Table(f"{file}: disk {number}", entry, ("who", "how"))
-        how = disk.text("how")
-        if how not in DISK_FAULTS:
+        mode = disk.text("how")
+        if mode not in DISK_FAULTS:
             raise disk.fail("how", f"must be {' or '.join(DISK_FAULTS)}")
-        disks[disk.whole("who", 0, 0, size - 1)] = how
-    return disks
-
-
-def _must(file: str, values: Any) -> Must:
-    table = Table(f"{file}: must", values, MUST_KEYS)
-    return Must(
-        holds=table.whole("holds", 1, 0, MOST_COUNT),
-        handovers=table.whole("handovers", 0, 0, MOST_COUNT),
-        rejected_acts=table.whole("turned_down", 0, 0, MOST_COUNT),
-        census=table.flag("census"),
-        answered=table.flag("answered", True),
-        probe_gap_s=table.number("probe_gap_s", 0.0, least=FROM_ZERO, most=MOST_S),
-        tokens=table.flag("tokens", True),
-        used=_named_numbers(f"{file}: must: used", values.get("used", {})),
-        away=table.whole("away", 0, 0, MOST_REGIONS_OUT),
-        back=table.flag("back"),
-        said=table.texts("said"),
-        served=table.number("served", 0.0, least=FROM_ZERO, most=1.0),
+        disk_faults[disk.whole("who", 0, 0, size - 1)] = mode
+    return disk_faults
+
+
+def _parse_requirements(file: str, values: Any) -> Requirements:
+    table = Table(f"{file}: must", values, REQUIREMENT_KEYS)
+    return Requirements(
+        min_holds=table.whole("holds", 1, 0, MAX_COUNT),
+        min_handovers=table.whole("handovers", 0, 0, MAX_COUNT),
+        min_rejected_acts=table.whole("turned_down", 0, 0, MAX_COUNT),
+        has_common_census=table.flag("census"),
+        has_all_answers=table.flag("answered", True),
+        max_probe_gap_s=table.number("probe_gap_s", 0.0, least=JUST_BELOW_ZERO, most=MAX_SECONDS),
+        has_rising_tokens=table.flag("tokens", True),
+        min_budget_use=_parse_named_numbers(f"{file}: must: used", values.get("used", {})),
+        min_regions_away=table.whole("away", 0, 0, MAX_REGIONS_OUT),
+        has_all_regions_back=table.flag("back"),
+        operator_answer_prefixes=table.texts("said"),
+        min_served_ratio=table.number("served", 0.0, least=JUST_BELOW_ZERO, most=1.0),
     )
 
 
-def _faults(table: Table, entries: Any, size: int) -> tuple[Fault, ...]:
-    """All faults by rising time."""
+def _parse_faults(table: Table, entries: Any, size: int) -> tuple[ScheduledFault, ...]:
+    """Return all faults in order of time."""
     if not isinstance(entries, list):
-        raise table.fail("fault", "must be tables, [[fault]]")
-    faults = [_fault(f"{table.where}: fault {number}", entry, size) for number, entry in enumerate(entries)]
+        raise table.fail("fault", "must be a list of [[fault]] tables")
+    faults = [_parse_fault(f"{table.where}: fault {number}", entry, size) for number, entry in enumerate(entries)]
     return tuple(sorted(faults, key=lambda fault: fault.at_s))
 
 
-def _fault(where: str, values: Any, size: int) -> Fault:
+def _parse_fault(where: str, values: Any, size: int) -> ScheduledFault:
     table = Table(where, values, FAULT_KEYS)
     action = table.text("do")
     if action not in ACTIONS:
         raise table.fail("do", f"must be one of {', '.join(ACTIONS)}, not {action!r:.40}")
-    return Fault(
-        at_s=table.number("at_s", 0.0, least=FROM_ZERO, most=MOST_S),
-        do=action,
-        who=_targets(table, action, size),
-        for_s=table.number("for_s", 0.0, least=FROM_ZERO, most=MOST_S),
-        each_s=table.number("each_s", 0.0, least=FROM_ZERO, most=MOST_S),
-        in_act=table.flag("in_act"),
-        sides=_sides(table, values.get("sides", []), action, size),
-        weather=_weather(f"{where}: weather", values.get("weather", {})),
-        size=table.whole("size", 0, 0, size),
-        how=_how(table, action),
-        weights=_numbers(table, "weights", values),
-        backend=_backend(table, action),
-        amounts=_named_numbers(f"{where}: amounts", values.get("amounts", {})),
+    return ScheduledFault(
+        at_s=table.number("at_s", 0.0, least=JUST_BELOW_ZERO, most=MAX_SECONDS),
+        action=action,
+        targets=_parse_targets(table, action, size),
+        undo_after_s=table.number("for_s", 0.0, least=JUST_BELOW_ZERO, most=MAX_SECONDS),
+        interval_s=table.number("each_s", 0.0, least=JUST_BELOW_ZERO, most=MAX_SECONDS),
+        is_mid_act=table.flag("in_act"),
+        sides=_parse_sides(table, values.get("sides", []), action, size),
+        datagram_faults=_parse_datagram_faults(f"{where}: weather", values.get("weather", {})),
+        numeric_argument=table.whole("size", 0, 0, size),
+        mode=_parse_mode(table, action),
+        weights=_parse_numbers(table, "weights", values),
+        backend=_parse_backend(table, action),
+        amounts=_parse_named_numbers(f"{where}: amounts", values.get("amounts", {})),
     )
 
 
-def _targets(table: Table, action: str, size: int) -> tuple[str, ...]:
+def _parse_targets(table: Table, action: str, size: int) -> tuple[str, ...]:
     targets = table.texts("who")
     for target in targets:
         if not _is_target(target, size):
-            raise table.fail("who", f"names {target!r:.40}, no member of this scenario")
-    if not targets and action not in ACTIONS_ON_NOBODY:
-        raise table.fail("who", f"is missing: {action} is done to somebody")
+            raise table.fail("who", f"names {target!r:.40}, which is not a member of this scenario")
+    if not targets and action not in ACTIONS_WITHOUT_TARGETS:
+        raise table.fail("who", f"is missing: the action {action} needs at least one target")
     return targets
 
 
@@ -308,11 +312,11 @@
     return target[:1] == "d" and number.isdigit() and int(number) < size
 
 
-def _sides(table: Table, sides: Any, action: str, size: int) -> tuple[tuple[int, ...], ...]:
+def _parse_sides(table: Table, sides: Any, action: str, size: int) -> tuple[tuple[int, ...], ...]:
     if not isinstance(sides, list) or not all(_is_side(side, size) for side in sides):
-        raise table.fail("sides", "must be lists of members' numbers")
+        raise table.fail("sides", "must be lists of member numbers")
     if action in ACTIONS_WITH_SIDES and not sides:
-        raise table.fail("sides", "is missing: a cut has sides")
+        raise table.fail("sides", "is missing: the actions cut and oneway need sides")
     return tuple(tuple(side) for side in sides)
 
 
@@ -320,60 +324,60 @@
     return isinstance(side, list) and all(isinstance(number, int) and 0 <= number < size for number in side)
 
 
-def _backend(table: Table, action: str) -> str:
+def _parse_backend(table: Table, action: str) -> str:
     backend = table.text("depot")
-    if action in ACTIONS_ON_A_BACKEND and not backend:
-        raise table.fail("depot", f"is missing: {action} is done to one")
+    if action in ACTIONS_ON_ONE_BACKEND and not backend:
+        raise table.fail("depot", f"is missing: the action {action} needs a backend, zone or region")
     return backend
 
 
-def _how(table: Table, action: str) -> str:
-    how = table.text("how")
-    if action == "zone" and how not in BACKEND_FAULTS:
-        raise table.fail("how", "must be fail, slow, dead, cut, or empty")
-    if action in ("depot", "log") and how not in RELAY_FAULTS and not how.isdigit():
-        raise table.fail("how", "must be silence, reset, or bytes a second")
-    return how
+def _parse_mode(table: Table, action: str) -> str:
+    mode = table.text("how")
+    if action == "zone" and mode not in BACKEND_FAULTS:
+        raise table.fail("how", "must be fail, slow, dead, cut or empty")
+    if action in ("depot", "log") and mode not in RELAY_FAULTS and not mode.isdigit():
+        raise table.fail("how", "must be silence, reset or a number of bytes per second")
+    return mode
 
 
-def _weather(where: str, values: Any) -> Weather:
+def _parse_datagram_faults(where: str, values: Any) -> DatagramFaults:
     table = Table(where, values, ("loss", "repeat", "late", "late_ms", "delay_ms"))
-    return Weather(
-        loss=_ratio(table, "loss"),
-        repeat=_ratio(table, "repeat"),
-        late=_ratio(table, "late"),
-        late_ms=table.number("late_ms", 3000, most=MOST_LATE_MS),
-        delay_ms=table.number("delay_ms", 0.0, least=FROM_ZERO, most=MOST_DELAY_MS),
+    return DatagramFaults(
+        loss_ratio=_parse_ratio(table, "loss"),
+        repeat_ratio=_parse_ratio(table, "repeat"),
+        late_ratio=_parse_ratio(table, "late"),
+        max_late_ms=table.number("late_ms", 3000, most=MAX_LATE_MS),
+        delay_ms=table.number("delay_ms", 0.0, least=JUST_BELOW_ZERO, most=MAX_DELAY_MS),
     )
 
 
-def _ratio(table: Table, key: str) -> float:
-    return table.number(key, 0.0, least=FROM_ZERO, most=1.0)
+def _parse_ratio(table: Table, key: str) -> float:
+    return table.number(key, 0.0, least=JUST_BELOW_ZERO, most=1.0)
 
 
-def _numbers(table: Table, key: str, values: Mapping[str, Any]) -> tuple[float, ...]:
+def _parse_numbers(table: Table, key: str, values: Mapping[str, Any]) -> tuple[float, ...]:
     numbers = values.get(key, [])
     if not isinstance(numbers, list) or not all(_is_weight(number) for number in numbers):
-        raise table.fail(key, "must be a list of numbers from 0")
+        raise table.fail(key, "must be a list of numbers that are at least 0")
     return tuple(float(number) for number in numbers)
 
 
 def _is_weight(number: Any) -> bool:
-    return isinstance(number, (int, float)) and not isinstance(number, bool) and 0 <= number < MOST_WEIGHT
+    return isinstance(number, (int, float)) and not isinstance(number, bool) and 0 <= number < MAX_WEIGHT
 
 
-def _named_numbers(where: str, values: Any) -> Mapping[str, float]:
+def _parse_named_numbers(where: str, values: Any) -> Mapping[str, float]:
     if not isinstance(values, Mapping) or not all(isinstance(value, (int, float)) for value in values.values()):
         raise ConfigError(f"{where} must be a table of numbers")
     return {str(key): float(value) for key, value in values.items()}
 
 
-def toml_value(value: Any) -> str:
-    """A value as TOML writes it."""
+def format_toml_value(value: Any) -> str:
+    """Return a value in TOML syntax."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, (int, float)) and math.isfinite(value):
         return repr(value)
     if isinstance(value, (list, tuple)):
-        return "[" + ", ".join(toml_value(v) for v in value) + "]"
+        return "[" + ", ".join(format_toml_value(v) for v in value) + "]"
     return '"' + str(value).replace("\\", "\\\\").replace('"', '\\"') + '"'
--- a/lab/spending.py
+++ b/lab/spending.py
@@ -57,29 +57,29 @@
     spent[RETRIES] = _retries_in_vain(backends)
     listed = {backend.name for backend in backends}
     for backend in backends:
-        for met in backend.met:
-            if met.probe:
-                spent[HEALTH_CHECKS].append(Spending(met.t, met.t, 1.0))
+        for met in backend.received_requests:
+            if met.is_probe:
+                spent[HEALTH_CHECKS].append(Spending(met.time_ms, met.time_ms, 1.0))
                 continue
             for name in dict.fromkeys((backend.name, met.source)):
                 if name not in listed:
                     continue
-                for cost in plan.costs_of(name, met.t + day_ms):
-                    spent[cost.limit].append(Spending(met.t, met.ended or met.t, cost.amount))
-        for began, ended in backend.links:
+                for cost in plan.costs_of(name, met.time_ms + day_ms):
+                    spent[cost.limit].append(Spending(met.time_ms, met.finished_ms or met.time_ms, cost.amount))
+        for began, ended in backend.connection_spans:
             spent[f"{CONNECTIONS}:{backend.name}"].append(Spending(began, ended, 1.0))
     return dict(spent)
 
 
 def _retries_in_vain(backends: Sequence[BusyBackend]) -> list[Spending]:
     """Attempts after a request's first that were not served."""
-    attempts = [met for backend in backends for met in backend.met if not met.probe]
+    attempts = [met for backend in backends for met in backend.received_requests if not met.is_probe]
     seen: set[str] = set()
     found: list[Spending] = []
-    for met in sorted(attempts, key=lambda met: met.t):
-        if met.trace in seen and not met.served:
-            found.append(Spending(met.t, met.t, 1.0))
-        seen.add(met.trace)
+    for met in sorted(attempts, key=lambda met: met.time_ms):
+        if met.trace_id in seen and not met.is_served:
+            found.append(Spending(met.time_ms, met.time_ms, 1.0))
+        seen.add(met.trace_id)
     return found
 
 
@@ -121,7 +121,7 @@
             spent[name] = [spending for spending in spent[name] if spending.began_ms >= since_ms]
         checker = check_limit(limit, spent[name], bounds.get(name, ()))
         report.max_used[name] = round(checker.max_used_fraction(), 3)
-        report.violations.extend(Violation(v.rule, v.t, f"{name}: {v.text}") for v in checker.violations)
+        report.violations.extend(Violation(v.rule, v.time_ms, f"{name}: {v.text}") for v in checker.violations)
     return report
 
 
--- a/lab/stand.py
+++ b/lab/stand.py
@@ -1,4 +1,4 @@
-"""Fake backends, change log and clients, all on loopback: for the tests and for the lab."""
+"""Fake backends, a fake change log and clients on loopback, for the tests and for the test bench."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from beechslip.platform.front import HttpFront
 from beechslip.routing import Router
 from beechslip.routing.wire.settings import read_settings
-from lab.ports import free_port as free_port  # for the tests
+from lab.ports import free_port as free_port  # re-exported for the tests
 
 SETTINGS: dict[str, Any] = {
     "balancers": 1,
@@ -104,55 +104,60 @@
         "upperCold": 22.0,
     },
 }
-COPY = b"X-Digest: 4be0\r\nX-Stamp: 1764576000000\r\n"
-TEST_LIMIT_S = 20
+# Header fields that identify a copy of an object.
+COPY_FIELDS = b"X-Digest: 4be0\r\nX-Stamp: 1764576000000\r\n"
+TEST_TIMEOUT_S = 20
 OK = (
-    b"HTTP/1.1 200 OK\r\n" + COPY + b"X-Result: local\r\nX-Stats: inflight:7;util:0.61\r\n"
+    b"HTTP/1.1 200 OK\r\n" + COPY_FIELDS + b"X-Result: local\r\nX-Stats: inflight:7;util:0.61\r\n"
     b"Content-Length: 5\r\n\r\nwaves"
 )
+# Script entries: HANG sends no response, RESET aborts the connection.
 HANG, RESET = b"", b"RST"
 
 
 def run(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run a test on a loop of its own; one that hangs fails."""
+    """Run a test in its own event loop; it fails if it takes longer than ``TEST_TIMEOUT_S``."""
 
     @functools.wraps(test)
-    def call(**given: Any) -> None:
-        asyncio.run(asyncio.wait_for(test(**given), TEST_LIMIT_S))
+    def call(**arguments: Any) -> None:
+        asyncio.run(asyncio.wait_for(test(**arguments), TEST_TIMEOUT_S))
 
     return call
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait until a condition holds that other tasks bring about; the limit of :func:`run` ends a vain wait."""
+    """Wait until a condition holds, as other tasks run. The time limit of :func:`run` ends a wait without success."""
     while not condition():
         await asyncio.sleep(0.001)
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """One HTTP message: its first line, its fields, its body."""
+    """Read one HTTP message, and return its first line, header fields and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     fields = dict(line.split(": ", 1) for line in head[1:] if line)
     return head[0], fields, await reader.readexactly(int(fields.get("Content-Length", 0)))
 
 
-class StandBackend:
-    """A backend that records its requests and answers by its script: one entry a request, the last for all others."""
+class FakeBackend:
+    """A backend that records its requests and responds by a script.
+
+    The script has one entry for each request; the last entry is used for all further requests.
+    """
 
     def __init__(self, name: str, *script: bytes, kind: str = "std-box", zone: str = "edge-1") -> None:
-        """Answer with ``script``, or always with :data:`OK`; ``address`` is set once it listens."""
+        """Respond with ``script``, or always with :data:`OK`; ``address`` is set once the backend listens."""
         self.name = name
         self.kind = kind
         self.zone = zone
         self.script = list(script or (OK,))
-        self.seen: list[tuple[str, dict[str, str], bytes]] = []
-        self.closed = 0
+        self.seen: list[tuple[str, dict[str, str], bytes]] = []  # the received requests
+        self.closed = 0  # number of ended connections
         self.connections = 0
         self.address = ""
-        self.log: list[str] = []
+        self.log: list[str] = []  # requests and ends of connections; shared by all backends of :func:`listening`
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the requests of one connection until it ends, or is reset by the script."""
+        """Respond to the requests of one connection until it ends or the script resets it."""
         self.connections += 1
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
@@ -169,13 +174,13 @@
         writer.close()
 
     def entry(self, state: str = "ready", started_ms: float = 0.0) -> Backend:
-        """This backend as the endpoint list has it."""
+        """Return the entry of this backend in the endpoint list."""
         return Backend(self.name, self.address, self.kind, self.zone, state, started_ms=started_ms)
 
 
 @contextlib.asynccontextmanager
-async def listening(*backends: StandBackend) -> AsyncIterator[None]:
-    """Serve all backends on ports of their own until the block ends."""
+async def listening(*backends: FakeBackend) -> AsyncIterator[None]:
+    """Serve each backend on its own port until the block ends."""
     log: list[str] = []
     servers = []
     for backend in backends:
@@ -189,11 +194,11 @@
             server.close()
 
 
-class Stand:
-    """The proxy's parts on a clock that tests set, with fake backends."""
+class InProcessProxy:
+    """A proxy in this process, with fake backends and a clock that the test sets."""
 
-    def __init__(self, *backends: StandBackend, module: Any = None, sockets: int = 90) -> None:
-        """Run ``module`` as the routing module, or a :class:`Router` with the default settings."""
+    def __init__(self, *backends: FakeBackend, module: Any = None, sockets: int = 90) -> None:
+        """Use ``module`` as the routing module; by default a :class:`Router` with the default settings."""
         self.sockets = sockets
         self.backends = backends
         self.settings = read_settings(SETTINGS)
@@ -202,7 +207,7 @@
         self.module: Any = module or Router(self.settings, 1)
         self.port = 0
 
-    async def __aenter__(self) -> Stand:
+    async def __aenter__(self) -> InProcessProxy:
         """Start the backends, the engine and the HTTP front."""
         self._servers = listening(*self.backends)
         await self._servers.__aenter__()
@@ -216,64 +221,64 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """End all that was started."""
+        """Stop everything that was started."""
         await self.front.close()
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
         await self.client.close()
         await self._servers.__aexit__(None, None, None)
 
-    def home(self, name: str = "7f3a") -> tuple[StandBackend, ...]:
-        """The backends in the module's own order for an object, which comes from hashes alone."""
+    def ranked_caches(self, name: str = "7f3a") -> tuple[FakeBackend, ...]:
+        """Return the caches in the routing module's order for an object, which depends on hashes alone."""
         from beechslip.routing.placement import mix, stable_hash
 
         key = stable_hash(f"{name}\n0")
-        boxes = [d for d in self.backends if d.kind == "std-box"]
-        return tuple(sorted(boxes, key=lambda d: mix(key, stable_hash(d.name)), reverse=True))
+        caches = [backend for backend in self.backends if backend.kind == "std-box"]
+        return tuple(sorted(caches, key=lambda backend: mix(key, stable_hash(backend.name)), reverse=True))
 
-    def ask(self, **how: Any) -> asyncio.Task[Answer]:
-        """Begin a request; see :func:`fetch` for its arguments."""
-        return asyncio.create_task(fetch(self.port, **how))
+    def ask(self, **arguments: Any) -> asyncio.Task[HttpResponse]:
+        """Start a request in a task; the arguments are those of :func:`fetch`."""
+        return asyncio.create_task(fetch(self.port, **arguments))
 
 
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+EVENT_STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 
 
-class StandLog:
-    """A change log that sends what the test publishes, with a comment now and then."""
+class FakeChangeLog:
+    """A change log that sends the events that a test publishes, and a comment when there is none for a while."""
 
     def __init__(self) -> None:
-        """Begin with no events; ``address`` is the test's to set."""
+        """Create a log without events; the test sets ``address``."""
         self.queue: asyncio.Queue[bytes] = asyncio.Queue()
-        self.resumed_from: list[str] = []  # the Last-Event-ID of each request for it
+        self.resumed_from: list[str] = []  # the Last-Event-ID of each request
         self.address = ""
-        self.down = False
-        self.rejected = 0
+        self.is_down = False
+        self.rejected = 0  # connections aborted while the log was stopped
 
     def stop(self) -> None:
-        """End the streams, and every one that comes, until it resumes."""
-        self.down = True
+        """Abort the open streams, and every new one until :meth:`resume` is called."""
+        self.is_down = True
 
     def resume(self) -> None:
         """Accept clients again."""
-        self.down = False
+        self.is_down = False
 
     def publish(self, seq: int, **event: Any) -> None:
-        """Queue an event with the number ``seq``."""
+        """Queue an event with the sequence number ``seq``."""
         self.queue.put_nowait(b"id: %d\ndata: %s\n\n" % (seq, json.dumps({"seq": seq, **event}).encode()))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send one client the queued events until it goes or the log is stopped."""
-        # A stream server reports a cancelled handler as an error; suppressing the cancellation avoids that.
-        if self.down:
+        """Send the queued events to one client until it disconnects or the log is stopped."""
+        # A stream server reports a cancelled handler as an error, so the cancellation is suppressed below.
+        if self.is_down:
             self.rejected += 1
             writer.transport.abort()
             return
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             self.resumed_from.append((await read_message(reader))[1]["Last-Event-ID"])
-            writer.write(HEAD)
+            writer.write(EVENT_STREAM_HEAD)
             while not writer.is_closing():
-                if self.down:
+                if self.is_down:
                     writer.transport.abort()
                     return
                 try:
@@ -283,8 +288,8 @@
                 await writer.drain()
 
 
-def line(backend: StandBackend, status: str = "active") -> dict[str, Any]:
-    """A backend's entry in a change log event, as the wire has it."""
+def endpoint_entry(backend: FakeBackend, status: str = "active") -> dict[str, Any]:
+    """Return the entry of a backend in a change log event, in wire format."""
     return {
         "name": backend.name,
         "address": backend.address,
@@ -299,7 +304,7 @@
 
 _request_ids = itertools.count(1)
 
-Answer = tuple[int, dict[str, str], bytes]
+HttpResponse = tuple[int, dict[str, str], bytes]
 
 
 async def fetch(
@@ -310,8 +315,8 @@
     wait_ms: int = 6000,
     raw: bytes | None = None,
     **fields: str,
-) -> Answer:
-    """One request on a connection of its own; ``raw`` is sent as it is."""
+) -> HttpResponse:
+    """Send one request on its own connection, and return status, fields and body; ``raw`` is sent unchanged."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     request_fields = {
         "Host": "service.internal",
--- a/lab/testbed.py
+++ b/lab/testbed.py
@@ -1,4 +1,4 @@
-"""The processes and the network of a scenario: backends, change logs, relays between them, and proxy processes."""
+"""The processes and the network of a scenario: backends, change logs, relays and proxy processes."""
 
 from __future__ import annotations
 
@@ -18,40 +18,40 @@
 from lab.proxy_config import PROXY_LIMITS, fleet_toml, proxy_settings
 from lab.relay import TcpRelay, UdpMesh
 from lab.scenario import Scenario
-from lab.stand import StandBackend, StandLog, fetch, line, listening
+from lab.stand import FakeBackend, FakeChangeLog, endpoint_entry, fetch, listening
 
-CHANGE_LOG = "log"  # the change log's name among the relays of a proxy
-READY_S = 30.0  # a proxy must be healthy this long after its start
-READY_POLL_S = 0.05
-PAGE_S = 3.0  # how long an operators' page is waited for
+CHANGE_LOG = "log"  # name of the change log among the relays of a proxy
+READY_TIMEOUT_S = 30.0  # within this time of its start a proxy must be healthy
+READY_POLL_INTERVAL_S = 0.05
+PAGE_TIMEOUT_S = 3.0  # for reading a page for operators
 FULL_DISK = "/dev/full"
 FILE_LIMIT_BYTES = 4096
-PORTS_PER_PROXY = 3  # peers, clients, operators
+PORTS_PER_PROXY = 3  # for peers, clients and operators
 
 
 class ProxyStartError(RuntimeError):
     """A proxy did not become healthy in time."""
 
     def __init__(self, proxy: ProxyProcess) -> None:
-        """Name the proxy and the file with its log."""
-        super().__init__(f"{proxy.name} did not come up; see {proxy.folder / 'log.txt'}")
+        """Report the proxy and the path of its log."""
+        super().__init__(f"proxy {proxy.name} did not become healthy; see {proxy.folder / 'log.txt'}")
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetChange:
-    """Amounts that replaced those of the scenario's budgets, and when the last file with them was written."""
+    """Amounts that replaced those of the scenario's budgets, and the time at which the last file was written."""
 
     at_ms: float
     amounts: Mapping[str, float]
 
 
 class Testbed:
-    """Owns all servers, relays and processes of a run; :meth:`close` ends them, whatever happened."""
+    """Own all servers, relays and processes of a run. :meth:`close` ends them, also after an error."""
 
-    __test__ = False  # not a test class, whatever its name begins with
+    __test__ = False  # pytest would take it for a test class because of its name
 
     def __init__(self, scenario: Scenario, folder: Path, injected_fault: str = "") -> None:
-        """Prepare a run with its files in ``folder``; nothing is started before :meth:`open`."""
+        """Prepare a run with its files in ``folder``; :meth:`open` starts it."""
         self.scenario = scenario
         self.folder = folder
         self.injected_fault = injected_fault
@@ -59,36 +59,40 @@
         self.rng = random.Random(scenario.seed)
         self.zones = scenario.zones or (0,) * self.size
         self.backends = self._make_backends()
-        self.logs = [StandLog() for _ in range(self.size)]  # one a proxy, as each has its own relay to a backend
-        self.last_seq = 1  # of the change log
+        # One per proxy, because the addresses of the backends' relays differ by proxy.
+        self.logs = [FakeChangeLog() for _ in range(self.size)]
+        self.last_seq = 1  # last sequence number of the change log
         self.budget_change: BudgetChange | None = None
-        self.relays: dict[tuple[int, str], TcpRelay] = {}  # by proxy and backend, or CHANGE_LOG
+        self.relays: dict[tuple[int, str], TcpRelay] = {}  # by proxy number and backend name or CHANGE_LOG
         self.proxies: list[ProxyProcess] = []
         self._stack = contextlib.AsyncExitStack()
 
-    def _make_backends(self) -> list[StandBackend]:
+    def _make_backends(self) -> list[FakeBackend]:
         if not self.scenario.work_ms:
             return [
-                StandBackend("a"),
-                StandBackend("b"),
-                StandBackend("hub", kind="parent", zone="north"),
-                StandBackend("archive", kind="origin", zone="north"),
+                FakeBackend("a"),
+                FakeBackend("b"),
+                FakeBackend("hub", kind="parent", zone="north"),
+                FakeBackend("archive", kind="origin", zone="north"),
             ]
         idle_s = self.settings(0)["caps"]["idleClose"]
         hubs = self.scenario.hubs
-        places = [
-            (f"hub{k + 1}" if k else "hub", "parent", f"hub-{k + 1}" if hubs else "north") for k in range(hubs or 2)
+        backend_specs = [
+            (f"hub{index + 1}" if index else "hub", "parent", f"hub-{index + 1}" if hubs else "north")
+            for index in range(hubs or 2)
         ]
-        places.append(("archive", "origin", "north"))
+        backend_specs.append(("archive", "origin", "north"))
         for zone in range(max(self.zones) + 1):
-            places += [(chr(ord("a") + 2 * zone + k), "std-box", f"edge-{zone + 1}") for k in (0, 1)]
-        backends = [BusyBackend(name, kind, zone, self.scenario.work_ms, idle_s) for name, kind, zone in places]
+            backend_specs += [(chr(ord("a") + 2 * zone + index), "std-box", f"edge-{zone + 1}") for index in (0, 1)]
+        backends = [
+            BusyBackend(name, kind, zone, self.scenario.work_ms, idle_s) for name, kind, zone in backend_specs
+        ]
         for backend in backends:
             backend.sources = {source.name: source for source in backends if source.kind != "std-box"}
         return list(backends)
 
     async def open(self) -> None:
-        """Start everything; returns when all members are healthy. ProxyStartError if one is not."""
+        """Start everything, and return when all members are healthy. Raises ProxyStartError if one is not in time."""
         self.folder.mkdir(parents=True, exist_ok=True)
         await self._stack.enter_async_context(listening(*self.backends))
         ports = [free_port() for _ in range(PORTS_PER_PROXY * self.size)]
@@ -107,7 +111,7 @@
         await asyncio.gather(*(self._wait_until_healthy(proxy) for proxy in members))
 
     async def close(self) -> None:
-        """End all that :meth:`open` has started."""
+        """End everything that :meth:`open` has started."""
         await self._stack.aclose()
 
     async def _start_relays(self, number: int) -> None:
@@ -125,25 +129,25 @@
         config = self._config(number, client_port)
         text = self.fleet_toml(number, self.scenario.members)
         proxy = ProxyProcess(number, folder, config, text, self.injected_fault, ops_port)
-        disk_fault = self.scenario.disks.get(number, "")
+        disk_fault = self.scenario.disk_faults.get(number, "")
         proxy.stderr = FULL_DISK if disk_fault == "log-full" else ""
         proxy.file_limit = FILE_LIMIT_BYTES if disk_fault == "file-limit" else 0
         self.proxies.append(proxy)
         self._stack.push_async_callback(proxy.end)
 
     async def _wait_until_healthy(self, proxy: ProxyProcess) -> None:
-        for _ in range(int(READY_S / READY_POLL_S)):
-            if not proxy.alive:
+        for _ in range(int(READY_TIMEOUT_S / READY_POLL_INTERVAL_S)):
+            if not proxy.is_alive:
                 break
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 if (await fetch(proxy.port, "/health"))[0] == 200:
-                    proxy.answered_start = proxy.starts
+                    proxy.last_answered_start = proxy.start_count
                     return
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         raise ProxyStartError(proxy)
 
     def settings(self, number: int) -> dict[str, Any]:
-        """The routing settings of a proxy."""
+        """Return the routing settings of a proxy."""
         return proxy_settings(self.scenario, number, self.zones)
 
     def _config(self, number: int, port: int) -> dict[str, Any]:
@@ -162,17 +166,17 @@
         }
 
     def fleet_toml(self, number: int, declared: int) -> str:
-        """The text of a member's ``fleet.toml`` with ``declared`` members."""
+        """Return the text of a member's ``fleet.toml`` with ``declared`` members."""
         history = self.folder / f"d{number}" / "history.jsonl"
         amounts = self.budget_change.amounts if self.budget_change is not None else {}
         return fleet_toml(self.scenario, history, declared, amounts)
 
-    def endpoint(self, number: int, backend: StandBackend) -> dict[str, Any]:
-        """A backend's entry in the endpoint list, with the address by which proxy ``number`` reaches it."""
-        return line(backend) | {"address": f"127.0.0.1:{self.relays[number, backend.name].port}"}
+    def endpoint(self, number: int, backend: FakeBackend) -> dict[str, Any]:
+        """Return the endpoint list entry of a backend, with the address at which proxy ``number`` reaches it."""
+        return endpoint_entry(backend) | {"address": f"127.0.0.1:{self.relays[number, backend.name].port}"}
 
     def publish(self, event_for: Callable[[int], dict[str, Any]]) -> None:
-        """Send a change log event to every proxy, and to those that start again; it may differ by proxy."""
+        """Send a change log event to every proxy, also to those that restart; the event may differ by proxy."""
         self.last_seq += 1
         for number, proxy in enumerate(self.proxies):
             event = event_for(number)
@@ -185,21 +189,21 @@
         """Set a fault (see :class:`TcpRelay`) on a proxy's relays to ``names``."""
         for (proxy_number, name), relay in self.relays.items():
             if proxy_number == number and name in names:
-                relay.set(fault)
+                relay.set_fault(fault)
 
     def history(self) -> list[dict[str, Any]]:
-        """All that the proxies have written of their histories so far."""
-        return [event for proxy in self.proxies for event in proxy.events()]
+        """Return all events that the proxies have written to their histories so far."""
+        return [event for proxy in self.proxies for event in proxy.read_events()]
 
     def regions_away(self) -> dict[str, Any]:
-        """By proxy, the regions that it keeps away from by its last order; proxies with none are left out."""
+        """Return by proxy the regions that it avoids by its last order; proxies that avoid none are left out."""
         last = {event["member"]: event["away"] for event in self.history() if event["kind"] == "changeover"}
         return {name: away for name, away in last.items() if away}
 
-    async def page(self, proxy: ProxyProcess, path: str) -> Mapping[str, Any]:
-        """An operators' page of a proxy; empty if it can't be had."""
+    async def read_page(self, proxy: ProxyProcess, path: str) -> Mapping[str, Any]:
+        """Return a page for operators of a proxy, or {} if it can't be read."""
         with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError, orjson.JSONDecodeError):
-            _, _, body = await asyncio.wait_for(fetch(proxy.ops_port, path), PAGE_S)
+            _, _, body = await asyncio.wait_for(fetch(proxy.ops_port, path), PAGE_TIMEOUT_S)
             page: Mapping[str, Any] = orjson.loads(body)
             return page
         return {}
--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -304,5 +304,5 @@
         checker.counts.get("hold", 0),
         checker.counts.get("handovers", 0),
         checker.counts.get("took", 0),
-        tuple(f"{v.rule} at {v.t:.0f} ms: {v.text}" for v in checker.violations),
+        tuple(f"{v.rule} at {v.time_ms:.0f} ms: {v.text}" for v in checker.violations),
     )
--- a/lab/virtual_agents.py
+++ b/lab/virtual_agents.py
@@ -83,7 +83,7 @@
         for number in numbers:
             _count(await fleet.run_order(number), states)
     await fleet.close()
-    violations = tuple(f"{v.rule} at {v.t:.0f} ms: {v.text}" for v in fleet.checker.violations)
+    violations = tuple(f"{v.rule} at {v.time_ms:.0f} ms: {v.text}" for v in fleet.checker.violations)
     return PlayResult(fleet.writes, dict(states), violations)
 
 
--- a/tests/connection_helpers.py
+++ b/tests/connection_helpers.py
@@ -9,10 +9,10 @@
 import pytest
 
 from beechslip.platform.client_connection import ClientConnection
-from lab.stand import Stand, StandBackend, read_message
+from lab.stand import FakeBackend, InProcessProxy, read_message
 
 
-class Gated(StandBackend):
+class Gated(FakeBackend):
     """Answers by its script once its gate is open."""
 
     def __init__(self, name: str, *script: bytes, **how: str) -> None:
@@ -62,7 +62,7 @@
         writer.transport.abort()
 
 
-def connections(stand: Stand) -> list[ClientConnection]:
+def connections(stand: InProcessProxy) -> list[ClientConnection]:
     return list(stand.front._server._open)
 
 
--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -16,8 +16,8 @@
     HANG,
     OK,
     RESET,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
     read_message,
     run,
     until,
@@ -25,7 +25,7 @@
 from tests.test_rules import Plan, boxes
 
 
-def effect(stand: Stand, name: str, **rule: Any) -> None:
+def effect(stand: InProcessProxy, name: str, **rule: Any) -> None:
     """Give all classes this effect."""
     classes = {key: replace(old, effect=name, **rule) for key, old in stand.settings.classes.items()}
     stand.settings = stand.engine.settings = replace(stand.settings, classes=classes)
@@ -38,7 +38,7 @@
 async def test_a_connection_that_comes_up_after_its_request_is_over_is_given_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with Stand(backend := StandBackend("a"), module=Plan("a")) as stand:
+    async with InProcessProxy(backend := FakeBackend("a"), module=Plan("a")) as stand:
         made = BackendConnection.connection_made
 
         def over(link: BackendConnection, transport: Any) -> None:
@@ -57,7 +57,7 @@
 async def test_a_connection_that_is_reset_before_its_first_byte_proves_that_nothing_ran(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with Stand(StandBackend("a"), StandBackend("b"), module=(plan := Plan("a", "b"))) as stand:
+    async with InProcessProxy(FakeBackend("a"), FakeBackend("b"), module=(plan := Plan("a", "b"))) as stand:
         effect(stand, "unsafe")
         dial = stand.client._pool._dial
 
@@ -78,7 +78,7 @@
 async def test_an_attempt_cancelled_in_the_moment_in_which_its_response_is_complete_has_been_answered(
     monkeypatch: pytest.MonkeyPatch, reason: Any
 ) -> None:
-    async with Stand(StandBackend("a"), module=Plan("a")) as stand:
+    async with InProcessProxy(FakeBackend("a"), module=Plan("a")) as stand:
         effect(stand, "unsafe")
         read = BackendConnection.data_received
 
@@ -94,7 +94,7 @@
 @run
 @pytest.mark.parametrize(("answer", "status"), [(b"", 502), (OK[:-2], 502), (OK, 200), (OK + b"noise", 200)])
 async def test_a_reset_before_within_and_after_an_answer(answer: bytes, status: int) -> None:
-    class Resets(StandBackend):
+    class Resets(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
             writer.write(answer)
@@ -102,7 +102,7 @@
                 await until(lambda: stand.counters["answered.served"])
             writer.transport.abort()
 
-    async with Stand(backend := Resets("a"), module=Plan("a", "a")) as stand:
+    async with InProcessProxy(backend := Resets("a"), module=Plan("a", "a")) as stand:
         effect(stand, "unsafe")
         assert (await stand.ask())[0] == status
         assert len(backend.seen) == 1  # what may have run is not sent again
@@ -110,7 +110,7 @@
 
 @run
 async def test_an_answer_that_never_ends_is_given_up_in_time() -> None:
-    async with Stand(backend := StandBackend("a", OK[:-3]), module=Plan("a")) as stand:
+    async with InProcessProxy(backend := FakeBackend("a", OK[:-3]), module=Plan("a")) as stand:
         asked = stand.ask(wait_ms=1000)
         await until(lambda: backend.seen)
         stand.clock.advance(999)
@@ -123,13 +123,13 @@
 async def test_a_keyed_write_whose_answer_is_lost_is_repeated_inside_its_window_and_its_clients_time_alone(
     monkeypatch: pytest.MonkeyPatch, past_ms: float, late_ms: float, status: int
 ) -> None:
-    class Loses(StandBackend):
+    class Loses(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
             stand.clock.advance(past_ms)
             writer.transport.abort()
 
-    async with Stand(Loses("a"), repeat := StandBackend("b"), module=Plan("a", "b")) as stand:
+    async with InProcessProxy(Loses("a"), repeat := FakeBackend("b"), module=Plan("a", "b")) as stand:
         effect(stand, "keyed", group="all", window=60.0 if late_ms else 0.5)
         dial = stand.client._pool._dial
 
@@ -147,7 +147,7 @@
 @run
 async def test_aiohttp_does_not_retry_on_a_dropped_idle_connection() -> None:
     # Its client would, in silence: an attempt that neither the cap nor the rule on effects knows of.
-    async with Stand(*boxes(OK, RESET, OK), module=Plan("a")) as stand:
+    async with InProcessProxy(*boxes(OK, RESET, OK), module=Plan("a")) as stand:
         assert (await stand.ask())[0] == 200
         stand.clock.advance(100)  # so that the connection has rested
         assert (await stand.ask())[0] == 502
@@ -157,7 +157,7 @@
 
 @run
 async def test_a_refused_connection_proves_that_nothing_ran() -> None:
-    async with Stand(*boxes(), module=Plan("a", "b")) as stand:
+    async with InProcessProxy(*boxes(), module=Plan("a", "b")) as stand:
         gone = replace(stand.backends[0].entry(), address="127.0.0.1:1")
         stand.engine.post(EndpointListUpdate("changes", (gone,)))
         assert (await stand.ask())[0] == 200
@@ -168,7 +168,7 @@
 @run
 @pytest.mark.parametrize("more", [OK.replace(b"waves", b"other"), b"noise"])
 async def test_what_an_idle_connection_brings_is_not_the_next_requests_answer(more: bytes) -> None:
-    backend = StandBackend("a")
+    backend = FakeBackend("a")
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         backend.connections += 1
@@ -179,7 +179,7 @@
             writer.write(more)  # once its answer is through and nobody has asked
 
     backend.serve = serve  # type: ignore[method-assign]
-    async with Stand(backend, module=Plan("a")) as stand:
+    async with InProcessProxy(backend, module=Plan("a")) as stand:
         assert (await stand.ask())[2] == b"waves"
         await until(lambda: stand.counters["depot.unasked"])
         stand.clock.advance(100)
@@ -188,7 +188,7 @@
 
 @run
 async def test_a_second_copy_that_comes_late_is_not_taken_for_another_objects_answer() -> None:
-    async with Stand(StandBackend("a", OK), module=Plan("a")) as stand:
+    async with InProcessProxy(FakeBackend("a", OK), module=Plan("a")) as stand:
         assert (await stand.ask())[0] == 200
         stand.clock.advance(100)
         assert (await stand.ask(target="/rpc/waveform/other"))[0] == 502  # the same tag and bytes once more
@@ -198,7 +198,7 @@
 @run
 async def test_an_unusable_response_counts_as_executed_and_against_no_backend() -> None:
     plan = Plan("a", "a")
-    async with Stand(StandBackend("a", b"HTTP/1.1 2x0 OK\r\n\r\n", OK), module=plan) as stand:
+    async with InProcessProxy(FakeBackend("a", b"HTTP/1.1 2x0 OK\r\n\r\n", OK), module=plan) as stand:
         assert (await stand.ask())[2] == b"waves" and stand.backends[0].connections == 2
         assert [event.result for event in plan.heard if isinstance(event, i.Outcome)] == ["cancelled", "ok"]
 
@@ -207,20 +207,20 @@
 async def test_a_broken_answer_is_retried_and_never_reaches_the_client() -> None:
     cut = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwa"
 
-    class Cutting(StandBackend):
+    class Cutting(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(cut)
             writer.close()
 
-    async with Stand(Cutting("a"), StandBackend("b"), module=Plan("a", "b")) as stand:
+    async with InProcessProxy(Cutting("a"), FakeBackend("b"), module=Plan("a", "b")) as stand:
         assert (await stand.ask())[2] == b"waves" and stand.counters["attempt.reset"] == 1
 
 
 @run
 async def test_an_answer_that_is_too_large_fails_the_attempt() -> None:
     big = b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 300000
-    async with Stand(*boxes(big), module=Plan("a")) as stand:
+    async with InProcessProxy(*boxes(big), module=Plan("a")) as stand:
         assert (await stand.ask())[0] == 502 and stand.counters["attempt.spoilt"] == 1
 
 
@@ -237,7 +237,7 @@
 ) -> None:
     # No redirect followed, nothing unpacked, no cookie sent back, no proxy used, no name quoted anew.
     monkeypatch.setenv("http_proxy", "http://127.0.0.1:1")
-    async with Stand(*boxes(answer), module=Plan("a")) as stand:
+    async with InProcessProxy(*boxes(answer), module=Plan("a")) as stand:
         for _ in range(2):
             got = await stand.ask(target="/rpc/waveform/a%7Eb%2B")
             assert (got[0], got[2]) == (status, body)
@@ -248,7 +248,7 @@
 
 @run
 async def test_connections_to_backends_are_bounded_and_a_full_pool_is_no_backend_failure() -> None:
-    async with Stand(StandBackend("a", HANG), module=(plan := Plan("a")), sockets=8) as stand:  # three links
+    async with InProcessProxy(FakeBackend("a", HANG), module=(plan := Plan("a")), sockets=8) as stand:  # three links
         asked = [stand.ask(wait_ms=2000) for _ in range(4)]
         await until(lambda: stand.counters["depot.waits"] == 1 and len(stand.backends[0].seen) == 3)
         stand.clock.advance(1999)
@@ -260,7 +260,7 @@
 
 @run
 async def test_a_connection_is_given_up_for_another_backend_and_with_its_own() -> None:
-    async with Stand(StandBackend("a"), StandBackend("b"), module=Plan("a"), sockets=3) as stand:  # one link
+    async with InProcessProxy(FakeBackend("a"), FakeBackend("b"), module=Plan("a"), sockets=3) as stand:  # one link
         assert (await stand.ask())[0] == 200
         stand.module.stores = ("b",)
         assert (await stand.ask())[0] == 200
@@ -272,7 +272,7 @@
 @run
 async def test_a_health_check_reads_the_load_and_a_silent_one_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beechslip.platform.backends.HEALTH_CHECK_TIMEOUT_MS", 1.0)
-    async with Stand(StandBackend("a", HANG), module=Plan()) as stand:
+    async with InProcessProxy(FakeBackend("a", HANG), module=Plan()) as stand:
         assert await stand.client.health_check(stand.backends[0].entry()) == AttemptResult("timeout")
         monkeypatch.setattr("beechslip.platform.backends.HEALTH_CHECK_TIMEOUT_MS", 5000.0)
         stand.backends[0].script = [OK]
--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -13,7 +13,7 @@
 from beechslip.core.messages import EndpointListUpdate
 from beechslip.core.model import AttemptResult, Backend
 from beechslip.fleet.messages import Message
-from lab.stand import HANG, OK, Stand, StandBackend, run, until
+from lab.stand import HANG, OK, FakeBackend, InProcessProxy, run, until
 from tests.test_budgets import Lease
 from tests.test_dns import ZONE, DnsStand, box, own
 from tests.test_rules import Plan as Always
@@ -36,18 +36,18 @@
     return part
 
 
-def backends(*script: bytes) -> tuple[StandBackend, ...]:
+def backends(*script: bytes) -> tuple[FakeBackend, ...]:
     return (
-        StandBackend("a", *script),
-        StandBackend("b", *script),
-        StandBackend("hub", kind="parent", zone="north"),
-        StandBackend("archive", kind="origin", zone="north"),
+        FakeBackend("a", *script),
+        FakeBackend("b", *script),
+        FakeBackend("hub", kind="parent", zone="north"),
+        FakeBackend("archive", kind="origin", zone="north"),
     )
 
 
 @run
 async def test_attempts_through_a_hub_are_bounded_whatever_the_module_says() -> None:
-    async with Stand(*backends(HANG)) as stand:
+    async with InProcessProxy(*backends(HANG)) as stand:
         part = part_for(stand, posted=False, hub_fills=2.0, origin_fills=1.0)
         asks = [stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(12)]
 
@@ -67,7 +67,7 @@
 
 @run
 async def test_the_module_gets_its_quotas_and_then_requests_no_more() -> None:
-    async with Stand(*backends(HANG)) as stand:
+    async with InProcessProxy(*backends(HANG)) as stand:
         part = part_for(stand, hub_fills=1.0, retries_per_s=5.0, retry_burst=5.0)
         part.tick(stand.clock.steady_ms())
         await until(lambda: stand.module.slow_start.quotas.fills)
@@ -82,7 +82,7 @@
 
 @run
 async def test_a_fill_ends_by_its_bound_which_is_all_that_a_start_waits_for() -> None:
-    async with Stand(*backends(HANG)) as stand:
+    async with InProcessProxy(*backends(HANG)) as stand:
         part = part_for(stand, fill_ms=300.0, hub_fills=9.0, origin_fills=9.0)
         assert {w.tail_ms for w in part.node.limits.values()} == {300.0}
         ask = stand.ask()
@@ -97,7 +97,7 @@
 
 @run
 async def test_connections_to_a_backend_are_bounded_and_given_back() -> None:
-    async with Stand(*backends(HANG)) as stand:
+    async with InProcessProxy(*backends(HANG)) as stand:
         part = part_for(stand, cache_links=2.0)
         part.trim = stand.client.bound(part)
         asks = [stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(10)]
@@ -114,7 +114,7 @@
 
 @run
 async def test_idle_connections_beyond_a_quota_that_shrinks_are_closed() -> None:
-    async with Stand(*backends(OK)) as stand:
+    async with InProcessProxy(*backends(OK)) as stand:
         part = part_for(stand, cache_links=4.0)
         part.trim = stand.client.bound(part)
         await asyncio.gather(*(stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(8)))
@@ -139,7 +139,7 @@
         def follow(self, backends: Any) -> None:
             pass
 
-    async with Stand(*backends()) as stand:
+    async with InProcessProxy(*backends()) as stand:
         part = part_for(stand, probes_per_s=1.0, probe_burst=1.0)
         inner = Inner()
         health_checker = BudgetedHealthChecker(inner, part)
@@ -167,7 +167,7 @@
 
 @run
 async def test_what_can_not_be_read_is_counted_and_costs_nothing() -> None:
-    async with Stand(*backends()) as stand:
+    async with InProcessProxy(*backends()) as stand:
         part = part_for(stand, hub_fills=4.0)
         assert part.receive(0.0, Message("budget", "d1", 0, body=b"odd")) == []
         assert stand.counters["budget.bad"] == 1 and part.state()["keeping"] is False
--- a/tests/test_changelog.py
+++ b/tests/test_changelog.py
@@ -16,10 +16,10 @@
 from beechslip.core.model import Backend
 from beechslip.counters import Counters
 from beechslip.platform.changelog import ChangeLog
-from lab.stand import HANG, RESET, StandBackend, listening, read_message, run, until
+from lab.stand import HANG, RESET, FakeBackend, listening, read_message, run, until
 
 
-class ScriptedLog(StandBackend):
+class ScriptedLog(FakeBackend):
     """A change log whose script is one complete stream a connection."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -46,7 +46,7 @@
 
 
 @contextlib.asynccontextmanager
-async def following(log: StandBackend) -> AsyncIterator[tuple[ChangeLog, list[Any]]]:
+async def following(log: FakeBackend) -> AsyncIterator[tuple[ChangeLog, list[Any]]]:
     """A change log reader that has reached 3, with three backends known, and what it posts."""
     got: list[Any] = []
     async with listening(log):
@@ -67,7 +67,7 @@
         return b'id: %d\ndata: {"seq":%d,"invalidate":{"bucket":%d,"time":9}}\n\n' % (seq, seq, seq)
 
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
-    log = StandBackend("log", head + event(4) + event(5) + RESET, head + event(5) + event(6))
+    log = FakeBackend("log", head + event(4) + event(5) + RESET, head + event(5) + event(6))
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         log.seen.append(await read_message(reader))
@@ -90,7 +90,7 @@
 @run
 async def test_a_silent_change_log_is_reconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beechslip.platform.changelog.SILENCE_S", 0.01)
-    log = StandBackend("log", HANG)
+    log = FakeBackend("log", HANG)
     async with listening(log):
         host, port = log.address.split(":")
         task = asyncio.create_task(ChangeLog(Address(host, int(port)), 3, lambda _: None, Counters()).run())
@@ -206,7 +206,7 @@
 async def test_events_are_read_in_all_their_forms_and_pieces(end: bytes) -> None:
     event = b'\xef\xbb\xbf: hello\nid:4\nevent: x\ndata:{"seq":4,\ndata:"invalidate":{"object":"4","time":1}}\n\n'
 
-    class Pieces(StandBackend):
+    class Pieces(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -16,8 +16,8 @@
 from lab.stand import (
     HANG,
     OK,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
     fetch,
     read_message,
     run,
@@ -35,7 +35,7 @@
 async def test_a_request_received_in_the_moment_of_a_close_is_answered(
     monkeypatch: pytest.MonkeyPatch, ending: str, status: int
 ) -> None:
-    async with Stand(StandBackend("a"), module=Plan("a")) as stand:
+    async with InProcessProxy(FakeBackend("a"), module=Plan("a")) as stand:
         server = stand.front._server
 
         def evict(_: ClientConnection) -> None:
@@ -62,7 +62,7 @@
 async def test_a_request_read_before_its_connections_end_and_handled_after_it_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with Stand(backend := StandBackend("a"), module=Plan("a")) as stand:
+    async with InProcessProxy(backend := FakeBackend("a"), module=Plan("a")) as stand:
         async with client(stand.port) as one:
             after_reading(monkeypatch, lambda connection: connection.force_close())
             one.send(command())
@@ -74,7 +74,7 @@
 @run
 @pytest.mark.parametrize("ending", ["drain", "handing over", "diverted"])
 async def test_pipelined_requests_are_answered_before_the_connection_ends(ending: str) -> None:
-    async with Stand(backend := Gated("a"), module=Plan("a")) as stand, client(stand.port) as one:
+    async with InProcessProxy(backend := Gated("a"), module=Plan("a")) as stand, client(stand.port) as one:
         one.send(command() + command() + command()[:30])
         await until(lambda: backend.seen)
         if ending == "diverted":
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("together", [True, False])
 async def test_commands_at_once_and_byte_by_byte_are_each_answered_in_their_order(together: bool) -> None:
     answers = [OK.replace(b"waves", b"wave%d" % n) for n in range(3)]
-    async with Stand(StandBackend("a", *answers), module=Plan("a")) as stand, client(stand.port) as one:
+    async with InProcessProxy(FakeBackend("a", *answers), module=Plan("a")) as stand, client(stand.port) as one:
         said = b"".join(command(f"/rpc/waveform/{n}") for n in range(3))
         if together:
             one.send(said)
@@ -112,7 +112,7 @@
 
 @run
 async def test_the_time_of_a_command_that_queued_runs_from_its_own_last_byte() -> None:
-    async with Stand(backend := Gated("a"), module=(plan := Plan("a"))) as stand, client(stand.port) as one:
+    async with InProcessProxy(backend := Gated("a"), module=(plan := Plan("a"))) as stand, client(stand.port) as one:
         one.send(command() + command(wait_ms=2000))
         await until(lambda: backend.seen)
         stand.clock.advance(1500)
@@ -127,7 +127,7 @@
 @run
 async def test_an_answer_that_nobody_reads_gives_its_descriptor_back() -> None:
     big = OK.replace(b"5\r\n", b"200000\r\n").replace(b"waves", b"w" * 200_000)
-    async with Stand(StandBackend("a", big), module=Plan("a")) as stand, client(stand.port) as one:
+    async with InProcessProxy(FakeBackend("a", big), module=Plan("a")) as stand, client(stand.port) as one:
         one.reader._transport.pause_reading()  # type: ignore[attr-defined]
         one.send(b"".join(command(f"/rpc/waveform/{n}") for n in range(60)))
         await until(lambda: connections(stand) and connections(stand)[0].writing_paused)
@@ -139,8 +139,8 @@
 @run
 @pytest.mark.parametrize("further", [False, True])
 async def test_a_disconnected_client_gets_no_attempt_however_late_the_engine_learns_of_it(further: bool) -> None:
-    first, second = Gated("a", ERROR), StandBackend("b")
-    async with Stand(first, second, module=Plan("a", "b") if further else Plan("b")) as stand:
+    first, second = Gated("a", ERROR), FakeBackend("b")
+    async with InProcessProxy(first, second, module=Plan("a", "b") if further else Plan("b")) as stand:
         postponed: list[object] = []
         dial, dialled = asyncio.Event(), stand.client._pool._dial
 
@@ -171,7 +171,7 @@
 @run
 async def test_the_end_of_a_client_with_many_pipelined_requests_is_noticed_at_once() -> None:
     # Past aiohttp's queue its transport would no longer be read, and the end not be seen.
-    async with Stand(backend := Gated("a"), module=Plan("a")) as stand:
+    async with InProcessProxy(backend := Gated("a"), module=Plan("a")) as stand:
         async with client(stand.port) as one:
             one.send(b"".join(command() for _ in range(80)))
             await until(lambda: backend.seen)
@@ -199,7 +199,7 @@
     ],
 )
 async def test_bad_input_gets_a_4xx_and_the_program_goes_on(raw: bytes, status: int) -> None:
-    async with Stand(*boxes()) as stand:
+    async with InProcessProxy(*boxes()) as stand:
         assert (await fetch(stand.port, raw=raw))[0] == status
         assert (await stand.ask())[0] == 200 and stand.counters["bad_request"] == 1
         assert stand.counters["taken"] == 1  # and nothing of it was passed on
@@ -221,7 +221,7 @@
     ],
 )
 async def test_a_connection_without_a_request_or_idle_is_closed(request_bytes: bytes, ms: float, count: str) -> None:
-    async with Stand(*boxes()) as stand:
+    async with InProcessProxy(*boxes()) as stand:
         reader, writer = await asyncio.open_connection("127.0.0.1", stand.port)
         writer.write(request_bytes)
         if count == "closed.idle":
@@ -238,7 +238,7 @@
 
 @run
 async def test_over_the_bound_the_longest_idle_connection_is_evicted_and_never_an_open_request() -> None:
-    async with Stand(*boxes(HANG), sockets=6) as stand:  # enough for three clients
+    async with InProcessProxy(*boxes(HANG), sockets=6) as stand:  # enough for three clients
         asked = stand.ask(Req_Id="9b1f03aa5c7e2d41")
         await until(lambda: stand.counters["taken"])
         idle = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]()
@@ -256,7 +256,7 @@
 
 @run
 async def test_a_draining_front_refuses_new_requests_and_answers_open_ones() -> None:
-    async with Stand(*boxes(HANG), module=Plan("a")) as stand:
+    async with InProcessProxy(*boxes(HANG), module=Plan("a")) as stand:
         asked = stand.ask(wait_ms=2000)
         await until(lambda: stand.counters["taken"])
         reader, writer = await asyncio.open_connection("127.0.0.1", stand.port)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -35,11 +35,11 @@
 from lab.stand import (
     OK,
     SETTINGS,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
+    endpoint_entry,
     fetch,
     free_port,
-    line,
     listening,
     read_message,
     run,
@@ -53,7 +53,7 @@
 
 @run
 async def test_new_settings_bring_no_draining_backend_back() -> None:
-    async with Stand(*(backends := [StandBackend("a"), StandBackend("b")])) as stand:
+    async with InProcessProxy(*(backends := [FakeBackend("a"), FakeBackend("b")])) as stand:
         stand.engine.step(EndpointListUpdate("changes", (backends[0].entry("draining"),)))
         stand.engine.step(SettingsChanged(replace(stand.settings, max_attempts=3)))
         for n in range(8):
@@ -81,7 +81,7 @@
             asked = len(one.log.resumed_from)
             one.log.resume()
             await until(lambda: len(one.log.resumed_from) > asked)
-            one.log.publish(2, fleet={"snapshot": False, "endpoints": [line(one.backends[0], "leaving")]})
+            one.log.publish(2, fleet={"snapshot": False, "endpoints": [endpoint_entry(one.backends[0], "leaving")]})
             while not one.backends[1].seen:
                 assert (await fetch(one.port))[0] == 200
         finally:
@@ -200,7 +200,7 @@
 # A backend in slow start -------------------------------------------------------------------------------------
 
 
-class Metered(StandBackend):
+class Metered(FakeBackend):
     """Notes by the test's clock when it is asked."""
 
     def __init__(self, name: str, clock: ManualClock) -> None:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -17,8 +17,8 @@
 import pytest
 
 from beechslip.config import ConfigError, read_config
-from lab.stand import HANG, SETTINGS, Stand, StandBackend, fetch, read_message, run, until
-from tests.test_program import ROOT, Program, free_port, line, program
+from lab.stand import HANG, SETTINGS, FakeBackend, InProcessProxy, fetch, read_message, run, until
+from tests.test_program import ROOT, Program, endpoint_entry, free_port, program
 
 READY = ("/v1/readyz", "GET")
 DRAIN, ACTIVATE = ("/v1/doorman/drain", "POST"), ("/v1/doorman/activate", "POST")
@@ -41,8 +41,8 @@
 
 @run
 async def test_clients_are_diverted_and_readmitted() -> None:
-    boxes = [StandBackend("a"), StandBackend("archive", kind="origin", zone="north")]
-    async with Stand(*boxes) as stand:
+    boxes = [FakeBackend("a"), FakeBackend("archive", kind="origin", zone="north")]
+    async with InProcessProxy(*boxes) as stand:
         idle, early, late = [await asyncio.open_connection("127.0.0.1", stand.port) for _ in range(3)]
         for one in (idle, early, late):
             assert (await asked_on(*one))[0].split()[1] == "200"
@@ -83,7 +83,9 @@
         await until(lambda: one.log.resumed_from)
         silent = [await asyncio.open_connection("127.0.0.1", ops) for _ in range(40)]
         assert await call(ops, *READY) == 503  # no backends yet
-        one.log.publish(1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in one.backends]})
+        one.log.publish(
+            1, fleet={"snapshot": True, "endpoints": [endpoint_entry(backend) for backend in one.backends]}
+        )
         while await call(ops, *READY) != 200:
             await asyncio.sleep(0.01)
         assert (await fetch(one.port, "/health"))[0] == 200
@@ -155,7 +157,7 @@
 
 @run
 async def test_a_proxy_that_hands_over_ends_connections_as_they_are_answered() -> None:
-    async with Stand(StandBackend("a"), StandBackend("archive", kind="origin", zone="north")) as stand:
+    async with InProcessProxy(FakeBackend("a"), FakeBackend("archive", kind="origin", zone="north")) as stand:
         reader, writer = await asyncio.open_connection("127.0.0.1", stand.port)
         await asked_on(reader, writer)
         stand.front.hand_over()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -25,11 +25,11 @@
     HANG,
     OK,
     SETTINGS,
-    StandBackend,
-    StandLog,
+    FakeBackend,
+    FakeChangeLog,
+    endpoint_entry,
     fetch,
     free_port,
-    line,
     listening,
     read_message,
     run,
@@ -42,8 +42,8 @@
 class Program:
     """The world round one proxy, and the proxy as a process."""
 
-    def __init__(self, folder: Path, kind: type[StandBackend] = StandBackend) -> None:
-        self.folder, self.port, self.log = folder, free_port(), StandLog()
+    def __init__(self, folder: Path, kind: type[FakeBackend] = FakeBackend) -> None:
+        self.folder, self.port, self.log = folder, free_port(), FakeChangeLog()
         self.backends = [
             kind("a"),
             kind("b"),
@@ -54,7 +54,7 @@
         self.env = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
 
     def write_config(self, known: bool = True) -> Path:
-        fleet = {"index": 1, "snapshot": True, "endpoints": [line(backend) for backend in self.backends]}
+        fleet = {"index": 1, "snapshot": True, "endpoints": [endpoint_entry(backend) for backend in self.backends]}
         path = self.folder / "config.json"
         path.write_text(
             json.dumps(
@@ -100,7 +100,7 @@
 
 
 @contextlib.asynccontextmanager
-async def program(folder: Path, kind: type[StandBackend] = StandBackend) -> AsyncIterator[Program]:
+async def program(folder: Path, kind: type[FakeBackend] = FakeBackend) -> AsyncIterator[Program]:
     one = Program(folder, kind)
     server = await asyncio.start_server(one.log.serve, "127.0.0.1", 0)
     one.log.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -123,7 +123,7 @@
         assert (await fetch(one.port, "/rpc/pick-submit/9c", "PUT", b"pick", Req_Token="5c"))[0] == 200
         assert (await fetch(one.port, "/rpc/none/9c"))[0] == 404
         first = next(backend for backend in one.backends if backend.seen)
-        one.log.publish(2, fleet={"snapshot": False, "endpoints": [line(first, "leaving")]})
+        one.log.publish(2, fleet={"snapshot": False, "endpoints": [endpoint_entry(first, "leaving")]})
         other = one.backends[1 - one.backends.index(first)]
         while not other.seen:
             assert (await fetch(one.port))[2] == b"waves"
@@ -139,7 +139,7 @@
 async def test_sigterm_lets_it_take_and_answer_what_still_comes(tmp_path: Path) -> None:
     released = asyncio.Event()
 
-    class Slow(StandBackend):
+    class Slow(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
             await released.wait()
@@ -194,7 +194,9 @@
         assert one.log.resumed_from == ["0"]
         with pytest.raises(OSError):
             await fetch(one.port, "/health")
-        one.log.publish(1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in one.backends]})
+        one.log.publish(
+            1, fleet={"snapshot": True, "endpoints": [endpoint_entry(backend) for backend in one.backends]}
+        )
         await one.ready()
         assert (await fetch(one.port))[0] == 200
         code, said = await one.end()
@@ -211,18 +213,18 @@
             while what not in await process.stderr.readline():  # type: ignore[union-attr]
                 assert process.returncode is None
 
-        new, old = StandLog(), one.log
+        new, old = FakeChangeLog(), one.log
         server = await asyncio.start_server(new.serve, "127.0.0.1", 0)
         new.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         (tmp_path / "config.json").write_text("{")
         process.send_signal(signal.SIGHUP)
         await said(b"is not used")
-        old.publish(2, fleet={"snapshot": False, "endpoints": [line(one.backends[0], "leaving")]})
+        old.publish(2, fleet={"snapshot": False, "endpoints": [endpoint_entry(one.backends[0], "leaving")]})
         await said(b"a 127.0.0.1")
         one.log = new
         one.write_config()
         process.send_signal(signal.SIGHUP)
-        new.publish(3, fleet={"snapshot": False, "endpoints": [line(one.backends[1], "leaving")]})
+        new.publish(3, fleet={"snapshot": False, "endpoints": [endpoint_entry(one.backends[1], "leaving")]})
         await said(b"b 127.0.0.1")
         assert (old.resumed_from, new.resumed_from) == (["1"], ["2"])  # from the number reached
         code, last = await one.end()
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -32,11 +32,11 @@
 from lab.stand import (
     OK,
     SETTINGS,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
+    endpoint_entry,
     fetch,
     free_port,
-    line,
     listening,
     read_message,
     run,
@@ -50,14 +50,16 @@
 
 
 @asynccontextmanager
-async def stage(url: str, *script: bytes, **config: Any) -> AsyncIterator[tuple[Stand, StoredSentRequestLog]]:
+async def stage(
+    url: str, *script: bytes, **config: Any
+) -> AsyncIterator[tuple[InProcessProxy, StoredSentRequestLog]]:
     """A proxy whose backends answer by ``script``, with a log of sent requests."""
     backends = (
-        StandBackend("a", *script),
-        StandBackend("hub", *script, kind="parent", zone="north"),
-        StandBackend("archive", *script, kind="origin", zone="north"),
+        FakeBackend("a", *script),
+        FakeBackend("hub", *script, kind="parent", zone="north"),
+        FakeBackend("archive", *script, kind="origin", zone="north"),
     )
-    async with Stand(*backends) as stand:
+    async with InProcessProxy(*backends) as stand:
         sent_log = StoredSentRequestLog(
             SentRequestConfig(url, **({"wait_ms": 3000.0, "keep_s": 60.0} | config)), stand.clock, stand.counters
         )
@@ -66,11 +68,11 @@
         sent_log.close()
 
 
-def submit(stand: Stand, token: str = "5c") -> Any:
+def submit(stand: InProcessProxy, token: str = "5c") -> Any:
     return stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", wait_ms=1500, Req_Token=token)
 
 
-def sends(stand: Stand) -> int:
+def sends(stand: InProcessProxy) -> int:
     return sum(len(d.seen) for d in stand.backends)
 
 
@@ -170,7 +172,7 @@
 # Proxies killed at random points ------------------------------------------------------------------------------
 
 
-class RecordingBackend(StandBackend):
+class RecordingBackend(FakeBackend):
     """Notes when each token came; answers after a while, so that kills fall between."""
 
     def __init__(self, name: str, kind: str, zone: str, arrivals: dict[str, list[float]]) -> None:
@@ -213,7 +215,11 @@
                         "results": [
                             {
                                 "seq": 1,
-                                "fleet": {"index": 1, "snapshot": True, "endpoints": [line(d) for d in backends]},
+                                "fleet": {
+                                    "index": 1,
+                                    "snapshot": True,
+                                    "endpoints": [endpoint_entry(d) for d in backends],
+                                },
                             }
                         ],
                     },
--- a/tests/test_region_part.py
+++ b/tests/test_region_part.py
@@ -27,7 +27,7 @@
 from beechslip.regions.settings import read_regions
 from beechslip.regions.status import RegionState, RegionStatus
 from beechslip.routing import interface as i
-from lab.stand import HANG, Stand, StandBackend, free_port, run, until
+from lab.stand import HANG, FakeBackend, InProcessProxy, free_port, run, until
 from tests.helpers import ORIGIN, PARENTS, SETTINGS, Stage
 from tests.region_helpers import grant, make_nodes
 
@@ -91,7 +91,7 @@
     assert sources(None) == everywhere
 
 
-def attach_part(stand: Stand, node: RegionNode) -> RegionPart:
+def attach_part(stand: InProcessProxy, node: RegionNode) -> RegionPart:
     """A region part that observes the attempts of the stand's engine."""
     part = RegionPart(node, stand.settings, stand.clock, stand.counters, stand.engine.post)
     stand.engine.services.observer = part
@@ -108,12 +108,12 @@
 @run
 async def test_a_proxy_limits_the_age_of_copies_from_a_region_that_has_returned() -> None:
     backends = (
-        StandBackend("a"),
-        StandBackend("b"),
-        StandBackend("hub", kind="parent", zone="north"),
-        StandBackend("archive", kind="origin", zone="north"),
+        FakeBackend("a"),
+        FakeBackend("b"),
+        FakeBackend("hub", kind="parent", zone="north"),
+        FakeBackend("archive", kind="origin", zone="north"),
     )
-    async with Stand(*backends) as stand:
+    async with InProcessProxy(*backends) as stand:
         nodes, _ = make_nodes(1)
         regions = attach_part(stand, nodes[0])
         assert nodes[0].sizes == {"cache:edge-1": 2, "hub:north": 1}
@@ -181,7 +181,7 @@
 
 @run
 async def test_an_operators_call_gets_a_response_and_wrong_parameters_are_refused() -> None:
-    async with Stand(StandBackend("a", HANG), StandBackend("hub", kind="parent", zone="north")) as stand:
+    async with InProcessProxy(FakeBackend("a", HANG), FakeBackend("hub", kind="parent", zone="north")) as stand:
         nodes, leases = make_nodes(1)
         grant(leases, "d0", 9)
         regions = attach_part(stand, nodes[0])
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -19,7 +19,7 @@
 from beechslip.proxy import Proxy
 from beechslip.routing import interface as i
 from beechslip.routing.wire.settings import read_settings
-from lab.stand import HANG, OK, RESET, SETTINGS, Stand, fetch, run, until
+from lab.stand import HANG, OK, RESET, SETTINGS, InProcessProxy, fetch, run, until
 from tests.helpers import Stage, attempts
 from tests.test_dns import ZONE, DnsStand
 from tests.test_program import program
@@ -145,7 +145,7 @@
     unsafe = replace(
         BEFORE, classes={"waveform": replace(BEFORE.classes["waveform"], effect="unsafe")}, max_attempts=2
     )
-    async with Stand(*boxes(HANG), module=Plan("a", "b")) as stand:
+    async with InProcessProxy(*boxes(HANG), module=Plan("a", "b")) as stand:
         asked = stand.ask()
         await until(lambda: stand.backends[0].seen)
         stand.engine.post(SettingsChanged(unsafe))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,11 +14,11 @@
 from beechslip.core.model import ClientRequest, FinalResponse
 from beechslip.routing import interface as i
 from lab.stand import (
-    COPY,
+    COPY_FIELDS,
     HANG,
     OK,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
     read_message,
     run,
     until,
@@ -28,12 +28,12 @@
 ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
-def boxes(*scripts: bytes) -> list[StandBackend]:
+def boxes(*scripts: bytes) -> list[FakeBackend]:
     return [
-        StandBackend("a", *scripts),
-        StandBackend("b", *scripts),
-        StandBackend("hub", kind="parent", zone="north"),
-        StandBackend("archive", kind="origin", zone="north"),
+        FakeBackend("a", *scripts),
+        FakeBackend("b", *scripts),
+        FakeBackend("hub", kind="parent", zone="north"),
+        FakeBackend("archive", kind="origin", zone="north"),
     ]
 
 
@@ -67,20 +67,20 @@
 
 @run
 async def test_bytes_tags_and_304s_are_carried_through() -> None:
-    same = b"HTTP/1.1 304 Not Modified\r\n" + COPY + b"X-Result: local\r\n\r\n"
-    async with Stand(*boxes(OK, same)) as stand:
+    same = b"HTTP/1.1 304 Not Modified\r\n" + COPY_FIELDS + b"X-Result: local\r\n\r\n"
+    async with InProcessProxy(*boxes(OK, same)) as stand:
         status, fields, body = await stand.ask()
         assert (status, fields["ETag"], body) == (200, '"4be0"', b"waves")
         status, fields, body = await stand.ask(If_None_Match='"4be0"')
         assert (status, fields["ETag"], body) == (304, '"4be0"', b"")
-        asked = stand.home()[0].seen
+        asked = stand.ranked_caches()[0].seen
         assert asked[1][1]["X-Validator"] == "4be0" and asked[0][0] == "GET /data/waveform/7f3a/0 HTTP/1.1"
         assert not {"User-Agent", "Accept", "Accept-Encoding"} & set(asked[0][1])
 
 
 @run
 async def test_a_silent_backend_still_gives_one_final_answer_before_the_client_gives_up() -> None:
-    async with Stand(*boxes(HANG), module=Plan("a")) as stand:
+    async with InProcessProxy(*boxes(HANG), module=Plan("a")) as stand:
         asked = stand.ask(wait_ms=2000)
         await until(lambda: stand.backends[0].seen)
         stand.clock.advance(1999)
@@ -93,13 +93,13 @@
     # A third of some days' clients wait little longer than the sending takes.
     written = asyncio.Event()
 
-    class Slow(StandBackend):
+    class Slow(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
             await written.wait()
             writer.write(OK)
 
-    async with Stand(Slow("a"), module=Plan("a")) as stand:
+    async with InProcessProxy(Slow("a"), module=Plan("a")) as stand:
         asked = stand.ask(wait_ms=100)
         await until(lambda: stand.backends[0].seen)
         stand.clock.advance(90)
@@ -113,7 +113,7 @@
         def next(self, request: str, wait: float) -> list[i.Action]:
             return []
 
-    async with Stand(*boxes(), module=Mute()) as stand:
+    async with InProcessProxy(*boxes(), module=Mute()) as stand:
         asked = stand.ask(wait_ms=2000)
         await until(lambda: stand.counters["taken"])
         stand.clock.advance(1999)
@@ -126,7 +126,7 @@
         def next(self, request: str, wait: float) -> list[i.Action]:
             raise IndexError("out of reach")
 
-    async with Stand(*boxes(), module=Broken()) as stand:
+    async with InProcessProxy(*boxes(), module=Broken()) as stand:
         assert [(await stand.ask())[0], (await stand.ask())[0]] == [500, 500]
         assert stand.counters["fault.module"] == 2
 
@@ -134,8 +134,8 @@
 @run
 async def test_a_given_up_attempt_is_closed_before_the_next_one_starts() -> None:
     # Guards against two attempts out at once: the first must be off the wire, not just forgotten.
-    backends = [StandBackend("a", HANG), StandBackend("b")]
-    async with Stand(*backends, module=Plan("a", "b")) as stand:
+    backends = [FakeBackend("a", HANG), FakeBackend("b")]
+    async with InProcessProxy(*backends, module=Plan("a", "b")) as stand:
         asked = stand.ask()
         await until(lambda: backends[0].seen)
         next(iter(stand.engine._attempts.in_flight.values())).stop("cancelled")
@@ -151,7 +151,7 @@
             both = len(self.left[request]) == 2
             return super().next(request, wait) + super().next(request, wait) if both else []
 
-    async with Stand(*boxes(), module=Twice("a", "b")) as stand:
+    async with InProcessProxy(*boxes(), module=Twice("a", "b")) as stand:
         assert (await stand.ask())[0] == 200
         assert [len(backend.seen) for backend in stand.backends[:2]] == [1, 0]
         assert stand.counters["attempt.moot"] == 1
@@ -159,7 +159,7 @@
 
 @run
 async def test_no_more_attempts_than_permitted() -> None:
-    async with Stand(*boxes(ERROR), module=Plan(*"abababababab")) as stand:
+    async with InProcessProxy(*boxes(ERROR), module=Plan(*"abababababab")) as stand:
         assert (await stand.ask())[0] == 502
         assert sum(len(backend.seen) for backend in stand.backends) == 8
 
@@ -167,7 +167,7 @@
 @run
 async def test_an_attempt_stopped_before_its_first_step_still_ends() -> None:
     # Its task runs none of its code then; unreported, the module would count it as out for good.
-    async with Stand(*boxes(), module=(plan := Plan("a"))) as stand:
+    async with InProcessProxy(*boxes(), module=(plan := Plan("a"))) as stand:
         response_sink: Any = type("Sink", (), {"answer": staticmethod(lambda final: None), "departed": False})()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
         stand.engine.step(RequestReceived(call, stand.client, response_sink))
@@ -181,7 +181,7 @@
 async def test_nothing_new_goes_to_or_through_a_draining_backend(drained: str) -> None:
     # The drain arrives after the module has chosen and before the first byte: dialling takes time.
     plan = Plan("a", source="hub")
-    async with Stand(*boxes(), module=plan) as stand:
+    async with InProcessProxy(*boxes(), module=plan) as stand:
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
         response_sink: Any = type("Sink", (), {"answer": staticmethod(final.set_result), "departed": False})()
@@ -194,8 +194,8 @@
 
 @run
 async def test_purges_and_drain_notices_overtake_queued_requests() -> None:
-    async with Stand(*boxes()) as stand:
-        home, other = stand.home()
+    async with InProcessProxy(*boxes()) as stand:
+        home, other = stand.ranked_caches()
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
         response_sink: Any = type("Sink", (), {"answer": staticmethod(final.set_result), "departed": False})()
         call = ClientRequest("1", "waveform", "7f3a", group=4, wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
@@ -210,7 +210,7 @@
 @run
 async def test_the_age_of_a_purge_is_taken_when_the_module_gets_it() -> None:
     plan = Plan()
-    async with Stand(*boxes(), module=plan) as stand:
+    async with InProcessProxy(*boxes(), module=plan) as stand:
         stand.engine.post(PurgeReceived("7f3a", 0, stand.clock.now_ms() - 100))
         stand.clock.advance(400)
         await until(lambda: any(isinstance(event, i.Purge) for event in plan.heard))
@@ -219,7 +219,7 @@
 
 @run
 async def test_a_write_goes_to_the_archive_once_with_its_key_and_body() -> None:
-    async with Stand(*boxes()) as stand:
+    async with InProcessProxy(*boxes()) as stand:
         status, _, _ = await stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", Req_Token="5c0f")
         seen = [(backend.name, *message) for backend in stand.backends for message in backend.seen]
         assert status == 200 and len(seen) == 1
@@ -232,7 +232,7 @@
 async def test_a_keyed_repeat_is_not_written_after_its_window() -> None:
     # A backend that discards repeats for 6 s would run one that comes later.
     plan = Plan("a", "b")
-    async with Stand(*boxes(HANG), module=plan) as stand:
+    async with InProcessProxy(*boxes(HANG), module=plan) as stand:
         stand.engine.settings.classes["pick-submit"] = replace(
             stand.engine.settings.classes["pick-submit"], window=0.5
         )
@@ -246,7 +246,7 @@
 @run
 async def test_a_flood_of_refusals_is_counted_completely_and_logged_in_part(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", "beechslip.engine")
-    async with Stand(module=Plan()) as stand:
+    async with InProcessProxy(module=Plan()) as stand:
         for n in range(50):
             response_sink: Any = type(
                 "Answerer", (), {"answer": staticmethod(lambda final: None), "departed": False}
@@ -259,7 +259,7 @@
 
 @run
 async def test_a_client_that_leaves_frees_its_attempt() -> None:
-    async with Stand(*boxes(HANG), module=Plan("a")) as stand:
+    async with InProcessProxy(*boxes(HANG), module=Plan("a")) as stand:
         asked = stand.ask()
         await until(lambda: stand.backends[0].seen)
         asked.cancel()
@@ -275,14 +275,14 @@
         def next(self, request: str, wait: float) -> list[i.Action]:
             return [i.Refuse(request, 0.25)]
 
-    async with Stand(*boxes(), module=Full()) as stand:
+    async with InProcessProxy(*boxes(), module=Full()) as stand:
         status, fields, _ = await stand.ask()
         assert (status, fields["Srv-Wait-Ms"]) == (503, "250")
 
 
 @run
 async def test_an_id_that_is_open_already_is_not_taken_twice() -> None:
-    async with Stand(*boxes(HANG), module=Plan("a")) as stand:
+    async with InProcessProxy(*boxes(HANG), module=Plan("a")) as stand:
         first = stand.ask(Req_Id="9b1f03aa5c7e2d41")
         await until(lambda: stand.backends[0].seen)
         assert (await stand.ask(Req_Id="9b1f03aa5c7e2d41"))[0] == 409
@@ -292,8 +292,8 @@
 @run
 @pytest.mark.parametrize("slow_start", [True, False])
 async def test_a_backend_in_slow_start_gets_no_more_than_its_allowance(slow_start: bool) -> None:
-    async with Stand(*boxes(HANG)) as stand:
-        box, rules = stand.home()[0], stand.settings
+    async with InProcessProxy(*boxes(HANG)) as stand:
+        box, rules = stand.ranked_caches()[0], stand.settings
         # In 3 s it may be sent 2.5 times what it gives: as long as nothing is learned, 0.18 of one transfer.
         most = (
             rules.overload_multiple
--- a/tests/test_served_by_size.py
+++ b/tests/test_served_by_size.py
@@ -16,8 +16,8 @@
 
 from bench.service_by_size import folder_shares
 from lab.link_backends import LinkBackend
-from lab.processes import spawn
-from lab.stand import SETTINGS, StandLog, fetch, free_port, line, listening
+from lab.processes import spawn_python
+from lab.stand import SETTINGS, FakeChangeLog, endpoint_entry, fetch, free_port, listening
 
 PROXIES = 3
 OBJECTS = 400
@@ -70,7 +70,7 @@
 
     @contextlib.asynccontextmanager
     async def proxies(self) -> AsyncIterator[None]:
-        log = StandLog()
+        log = FakeChangeLog()
         server = await asyncio.start_server(log.serve, "127.0.0.1", 0)
         log.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         links = [asyncio.create_task(backend.link.run()) for backend in self.backends]
@@ -93,7 +93,7 @@
         settings["specifics"]["instancesByZone"] = [0, PROXIES]
         if not self.overload.reports:
             settings["loadReport"] = {"columns": [], "how": "none"}
-        listed = {"index": 1, "snapshot": True, "endpoints": [line(backend) for backend in self.backends]}
+        listed = {"index": 1, "snapshot": True, "endpoints": [endpoint_entry(backend) for backend in self.backends]}
         config = {
             "name": f"n{number}",
             "listen": f"127.0.0.1:{self.ports[number]}",
@@ -105,7 +105,7 @@
         }
         path = self.folder / f"n{number}.json"
         path.write_text(json.dumps(config))
-        return await spawn(
+        return await spawn_python(
             ["-m", "beechslip"], self.folder / f"n{number}.log", EDGE_CONFIG=str(path), EDGE_LOG="debug"
         )
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -20,8 +20,8 @@
 from beechslip.core.messages import PurgeReceived
 from beechslip.platform.sockets import RetryingSocket
 from beechslip.routing import interface as i
-from lab.service_soak import served
-from lab.stand import OK, Stand, StandBackend, fetch, read_message, run, until
+from lab.service_soak import ok_response
+from lab.stand import OK, FakeBackend, InProcessProxy, fetch, read_message, run, until
 from tests.connection_helpers import Gated, client, command, connections
 from tests.test_program import ROOT, Program, program
 from tests.test_record import stage, submit
@@ -31,7 +31,7 @@
 SLACK_MS = 150.0  # of the deadline passed to a server
 
 
-class HangingBackend(StandBackend):
+class HangingBackend(FakeBackend):
     """Takes connections and requests, and answers nothing while it hangs; notes when each request came."""
 
     def __init__(self, name: str, **how: str) -> None:
@@ -47,7 +47,7 @@
                 if self.hangs:
                     await reader.read()
                     return
-                writer.write(served(self.seen[-1][0]))  # equal bytes of other objects look like a second copy
+                writer.write(ok_response(self.seen[-1][0]))  # equal bytes of other objects look like a second copy
 
 
 class Faulty:
@@ -185,7 +185,9 @@
 async def test_an_attempt_that_waits_for_its_connection_respects_a_purge_received_meanwhile(
     purge: PurgeReceived,
 ) -> None:
-    async with Stand(StandBackend("a"), StandBackend("b"), StandBackend("hub", kind="parent", zone="north")) as stand:
+    async with InProcessProxy(
+        FakeBackend("a"), FakeBackend("b"), FakeBackend("hub", kind="parent", zone="north")
+    ) as stand:
         dialled, dial = stand.client._pool._dial, asyncio.Event()
 
         async def late(key: Any) -> Any:
@@ -261,7 +263,7 @@
 
 @run
 async def test_a_client_that_closes_behind_more_than_is_read_of_it_gets_no_further_attempt() -> None:
-    async with Stand(backend := Gated("a"), module=Plan("a")) as stand:
+    async with InProcessProxy(backend := Gated("a"), module=Plan("a")) as stand:
         async with client(stand.port) as one:
             one.send(b"".join(command(f"/rpc/waveform/{n:0200}") for n in range(4_000)))
             await until(lambda: backend.seen)
@@ -276,7 +278,7 @@
 async def test_a_client_that_disconnects_while_the_first_byte_can_not_be_written_gets_no_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with Stand(backend := StandBackend("a"), module=Plan("a")) as stand:
+    async with InProcessProxy(backend := FakeBackend("a"), module=Plan("a")) as stand:
         full = asyncio.Event()
 
         def send(sock: RetryingSocket, data: bytes, flags: int = 0) -> int:
@@ -364,14 +366,14 @@
         def next(self, request: str, wait: float) -> list[i.Action]:
             return super().next(request, wait) if self.left[request] else [i.Refuse(request)]
 
-    async with Stand(StandBackend("a", ERROR), StandBackend("b", ERROR), module=Refuses("a", "b")) as stand:
+    async with InProcessProxy(FakeBackend("a", ERROR), FakeBackend("b", ERROR), module=Refuses("a", "b")) as stand:
         answer = await stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", Req_Token=token)
         assert (answer[0], sum(len(backend.seen) for backend in stand.backends)) == (status, executed)
 
 
 @run
 async def test_a_client_that_expects_100_continue_gets_it() -> None:
-    async with Stand(backend := StandBackend("a"), module=Plan("a")) as stand, client(stand.port) as one:
+    async with InProcessProxy(backend := FakeBackend("a"), module=Plan("a")) as stand, client(stand.port) as one:
         one.send(
             command("/rpc/pick-submit/9c").replace(b"GET", b"PUT", 1)[:-2]
             + b"Req-Token: 5c\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n"
