--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -16,8 +16,8 @@
     HANG,
     OK,
     RESET,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
     read_message,
     run,
     until,
@@ -25,7 +25,7 @@
 from tests.test_rules import ScriptedRouter, default_backends
 
 
-def set_effect(stand: Stand, name: str, **rule: Any) -> None:
+def set_effect(stand: InProcessProxy, name: str, **rule: Any) -> None:
     """Set this effect for all classes."""
     classes = {key: replace(old, effect=name, **rule) for key, old in stand.settings.classes.items()}
     stand.settings = stand.engine.settings = replace(stand.settings, classes=classes)
@@ -38,7 +38,7 @@
 async def test_connection_established_after_its_request_ended_is_released(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with Stand(backend := StandBackend("a"), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(backend := FakeBackend("a"), module=ScriptedRouter("a")) as stand:
         original_connection_made = BackendConnection.connection_made
 
         def stop_after_connecting(connection: BackendConnection, transport: Any) -> None:
@@ -57,7 +57,7 @@
 async def test_connection_reset_before_first_byte_counts_as_connect_failure(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with Stand(StandBackend("a"), StandBackend("b"), module=(plan := ScriptedRouter("a", "b"))) as stand:
+    async with InProcessProxy(FakeBackend("a"), FakeBackend("b"), module=(plan := ScriptedRouter("a", "b"))) as stand:
         set_effect(stand, "unsafe")
         original_dial = stand.client._pool._dial
 
@@ -78,7 +78,7 @@
 async def test_attempt_cancelled_as_its_response_completes_uses_the_response(
     monkeypatch: pytest.MonkeyPatch, reason: Any
 ) -> None:
-    async with Stand(StandBackend("a"), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(FakeBackend("a"), module=ScriptedRouter("a")) as stand:
         set_effect(stand, "unsafe")
         original_data_received = BackendConnection.data_received
 
@@ -96,7 +96,7 @@
 async def test_connection_reset_before_within_or_after_response_never_repeats_the_request(
     response: bytes, status: int
 ) -> None:
-    class ResettingBackend(StandBackend):
+    class ResettingBackend(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
             writer.write(response)
@@ -104,7 +104,7 @@
                 await until(lambda: stand.counters["answered.served"])
             writer.transport.abort()
 
-    async with Stand(backend := ResettingBackend("a"), module=ScriptedRouter("a", "a")) as stand:
+    async with InProcessProxy(backend := ResettingBackend("a"), module=ScriptedRouter("a", "a")) as stand:
         set_effect(stand, "unsafe")
         assert (await stand.ask())[0] == status
         assert len(backend.seen) == 1  # a request that may have been executed is not sent again
@@ -112,7 +112,7 @@
 
 @run
 async def test_incomplete_response_times_out_at_the_clients_deadline() -> None:
-    async with Stand(backend := StandBackend("a", OK[:-3]), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(backend := FakeBackend("a", OK[:-3]), module=ScriptedRouter("a")) as stand:
         pending_response = stand.ask(wait_ms=1000)
         await until(lambda: backend.seen)
         stand.clock.advance(999)
@@ -125,14 +125,14 @@
 async def test_keyed_write_is_repeated_only_within_its_repeat_window_and_the_clients_time(
     monkeypatch: pytest.MonkeyPatch, elapsed_ms: float, delay_ms: float, status: int
 ) -> None:
-    class ResponseLosingBackend(StandBackend):
+    class ResponseLosingBackend(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
             stand.clock.advance(elapsed_ms)
             writer.transport.abort()
 
-    async with Stand(
-        ResponseLosingBackend("a"), second_backend := StandBackend("b"), module=ScriptedRouter("a", "b")
+    async with InProcessProxy(
+        ResponseLosingBackend("a"), second_backend := FakeBackend("b"), module=ScriptedRouter("a", "b")
     ) as stand:
         set_effect(stand, "keyed", group="all", window=60.0 if delay_ms else 0.5)
         original_dial = stand.client._pool._dial
@@ -152,7 +152,7 @@
 async def test_dropped_idle_connection_is_not_retried() -> None:
     # aiohttp's client would retry without notice. Neither the cap on attempts nor the rules on effects would know of
     # that attempt.
-    async with Stand(*default_backends(OK, RESET, OK), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(*default_backends(OK, RESET, OK), module=ScriptedRouter("a")) as stand:
         assert (await stand.ask())[0] == 200
         stand.clock.advance(100)  # so that the connection has been idle for long enough
         assert (await stand.ask())[0] == 502
@@ -162,7 +162,7 @@
 
 @run
 async def test_refused_connection_counts_as_connect_failure() -> None:
-    async with Stand(*default_backends(), module=ScriptedRouter("a", "b")) as stand:
+    async with InProcessProxy(*default_backends(), module=ScriptedRouter("a", "b")) as stand:
         unreachable_backend = replace(stand.backends[0].entry(), address="127.0.0.1:1")
         stand.engine.post(EndpointListUpdate("changes", (unreachable_backend,)))
         assert (await stand.ask())[0] == 200
@@ -173,7 +173,7 @@
 @run
 @pytest.mark.parametrize("extra_bytes", [OK.replace(b"waves", b"other"), b"noise"])
 async def test_bytes_received_on_idle_connection_are_not_used_as_the_next_response(extra_bytes: bytes) -> None:
-    backend = StandBackend("a")
+    backend = FakeBackend("a")
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         backend.connections += 1
@@ -184,7 +184,7 @@
             writer.write(extra_bytes)  # after its response was delivered, while no request is pending
 
     backend.serve = serve  # type: ignore[method-assign]
-    async with Stand(backend, module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(backend, module=ScriptedRouter("a")) as stand:
         assert (await stand.ask())[2] == b"waves"
         await until(lambda: stand.counters["depot.unasked"])
         stand.clock.advance(100)
@@ -193,7 +193,7 @@
 
 @run
 async def test_late_second_copy_is_not_used_as_response_for_another_object() -> None:
-    async with Stand(StandBackend("a", OK), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(FakeBackend("a", OK), module=ScriptedRouter("a")) as stand:
         assert (await stand.ask())[0] == 200
         stand.clock.advance(100)
         assert (await stand.ask(target="/rpc/waveform/other"))[0] == 502  # the same tag and bytes as before
@@ -203,7 +203,7 @@
 @run
 async def test_unusable_response_counts_as_executed_but_not_against_the_backend() -> None:
     plan = ScriptedRouter("a", "a")
-    async with Stand(StandBackend("a", b"HTTP/1.1 2x0 OK\r\n\r\n", OK), module=plan) as stand:
+    async with InProcessProxy(FakeBackend("a", b"HTTP/1.1 2x0 OK\r\n\r\n", OK), module=plan) as stand:
         assert (await stand.ask())[2] == b"waves" and stand.backends[0].connections == 2
         assert [event.result for event in plan.received_events if isinstance(event, i.Outcome)] == ["cancelled", "ok"]
 
@@ -212,20 +212,20 @@
 async def test_truncated_response_is_retried_and_never_reaches_the_client() -> None:
     truncated_response = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwa"
 
-    class TruncatingBackend(StandBackend):
+    class TruncatingBackend(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(truncated_response)
             writer.close()
 
-    async with Stand(TruncatingBackend("a"), StandBackend("b"), module=ScriptedRouter("a", "b")) as stand:
+    async with InProcessProxy(TruncatingBackend("a"), FakeBackend("b"), module=ScriptedRouter("a", "b")) as stand:
         assert (await stand.ask())[2] == b"waves" and stand.counters["attempt.reset"] == 1
 
 
 @run
 async def test_response_above_size_limit_fails_the_attempt() -> None:
     large_response = b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 300000
-    async with Stand(*default_backends(large_response), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(*default_backends(large_response), module=ScriptedRouter("a")) as stand:
         assert (await stand.ask())[0] == 502 and stand.counters["attempt.spoilt"] == 1
 
 
@@ -243,7 +243,7 @@
     # It follows no redirect, decodes no content, sends no cookie back, uses no proxy and does not quote the name
     # again.
     monkeypatch.setenv("http_proxy", "http://127.0.0.1:1")
-    async with Stand(*default_backends(response), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(*default_backends(response), module=ScriptedRouter("a")) as stand:
         for _ in range(2):
             received = await stand.ask(target="/rpc/waveform/a%7Eb%2B")
             assert (received[0], received[2]) == (status, body)
@@ -254,8 +254,8 @@
 
 @run
 async def test_pool_bounds_connections_and_a_full_pool_is_not_a_backend_failure() -> None:
-    async with Stand(
-        StandBackend("a", HANG), module=(plan := ScriptedRouter("a")), sockets=8
+    async with InProcessProxy(
+        FakeBackend("a", HANG), module=(plan := ScriptedRouter("a")), sockets=8
     ) as stand:  # three connections
         pending_responses = [stand.ask(wait_ms=2000) for _ in range(4)]
         await until(lambda: stand.counters["depot.waits"] == 1 and len(stand.backends[0].seen) == 3)
@@ -268,8 +268,8 @@
 
 @run
 async def test_idle_connection_is_closed_for_another_backend_and_when_its_backend_is_removed() -> None:
-    async with Stand(
-        StandBackend("a"), StandBackend("b"), module=ScriptedRouter("a"), sockets=3
+    async with InProcessProxy(
+        FakeBackend("a"), FakeBackend("b"), module=ScriptedRouter("a"), sockets=3
     ) as stand:  # one connection
         assert (await stand.ask())[0] == 200
         stand.module.backend_names = ("b",)
@@ -282,7 +282,7 @@
 @run
 async def test_health_check_reads_load_report_and_times_out_without_response(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beechslip.platform.backends.HEALTH_CHECK_TIMEOUT_MS", 1.0)
-    async with Stand(StandBackend("a", HANG), module=ScriptedRouter()) as stand:
+    async with InProcessProxy(FakeBackend("a", HANG), module=ScriptedRouter()) as stand:
         assert await stand.client.health_check(stand.backends[0].entry()) == AttemptResult("timeout")
         monkeypatch.setattr("beechslip.platform.backends.HEALTH_CHECK_TIMEOUT_MS", 5000.0)
         stand.backends[0].script = [OK]
--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -16,7 +16,7 @@
 from beechslip.core.messages import EndpointListUpdate
 from beechslip.core.model import AttemptResult, Backend
 from beechslip.fleet.messages import PeerMessage
-from lab.stand import HANG, OK, Stand, StandBackend, run, until
+from lab.stand import HANG, OK, FakeBackend, InProcessProxy, run, until
 from tests.test_budgets import FakeLeaseView
 from tests.test_dns import ZONE, DnsStand, box, objects_homed_in
 from tests.test_rules import ScriptedRouter as AlwaysPlan
@@ -45,18 +45,18 @@
     return part
 
 
-def backends(*script: bytes) -> tuple[StandBackend, ...]:
+def backends(*script: bytes) -> tuple[FakeBackend, ...]:
     return (
-        StandBackend("a", *script),
-        StandBackend("b", *script),
-        StandBackend("hub", kind="parent", zone="north"),
-        StandBackend("archive", kind="origin", zone="north"),
+        FakeBackend("a", *script),
+        FakeBackend("b", *script),
+        FakeBackend("hub", kind="parent", zone="north"),
+        FakeBackend("archive", kind="origin", zone="north"),
     )
 
 
 @run
 async def test_attempts_through_a_hub_are_bounded_without_the_modules_quotas() -> None:
-    async with Stand(*backends(HANG)) as stand:
+    async with InProcessProxy(*backends(HANG)) as stand:
         part = attach_budgets(stand, has_posted_quotas=False, hub_fills=2.0, origin_fills=1.0)
         request_tasks = [stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(12)]
 
@@ -76,7 +76,7 @@
 
 @run
 async def test_module_with_posted_quotas_attempts_no_more_than_they_allow() -> None:
-    async with Stand(*backends(HANG)) as stand:
+    async with InProcessProxy(*backends(HANG)) as stand:
         part = attach_budgets(stand, hub_fills=1.0, retries_per_s=5.0, retry_burst=5.0)
         part.tick(stand.clock.steady_ms())
         await until(lambda: stand.module.slow_start.quotas.fills)
@@ -91,7 +91,7 @@
 
 @run
 async def test_fill_ends_within_fill_ms_which_is_the_occupancy_of_its_limit() -> None:
-    async with Stand(*backends(HANG)) as stand:
+    async with InProcessProxy(*backends(HANG)) as stand:
         part = attach_budgets(stand, fill_ms=300.0, hub_fills=9.0, origin_fills=9.0)
         assert {limit.base_occupancy_ms for limit in part.node.limits.values()} == {300.0}
         request_task = stand.ask()
@@ -106,7 +106,7 @@
 
 @run
 async def test_connections_to_a_backend_are_bounded_and_released() -> None:
-    async with Stand(*backends(HANG)) as stand:
+    async with InProcessProxy(*backends(HANG)) as stand:
         part = attach_budgets(stand, cache_links=2.0)
         part.limit_connections = stand.client.limit_connections(part)
         request_tasks = [stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(10)]
@@ -125,7 +125,7 @@
 
 @run
 async def test_idle_connections_are_closed_when_their_quota_shrinks() -> None:
-    async with Stand(*backends(OK)) as stand:
+    async with InProcessProxy(*backends(OK)) as stand:
         part = attach_budgets(stand, cache_links=4.0)
         part.limit_connections = stand.client.limit_connections(part)
         await asyncio.gather(*(stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(8)))
@@ -150,7 +150,7 @@
         def update_backends(self, backends: Any) -> None:
             pass
 
-    async with Stand(*backends()) as stand:
+    async with InProcessProxy(*backends()) as stand:
         part = attach_budgets(stand, probes_per_s=1.0, probe_burst=1.0)
         inner = Inner()
         health_checker = BudgetedHealthChecker(inner, part)
@@ -178,7 +178,7 @@
 
 @run
 async def test_unreadable_message_is_counted_and_gets_no_answer() -> None:
-    async with Stand(*backends()) as stand:
+    async with InProcessProxy(*backends()) as stand:
         part = attach_budgets(stand, hub_fills=4.0)
         assert part.receive(0.0, PeerMessage("budget", "d1", 0, body=b"odd")) == []
         assert stand.counters["budget.bad"] == 1 and part.state()["keeping"] is False
--- a/tests/test_changelog.py
+++ b/tests/test_changelog.py
@@ -16,10 +16,10 @@
 from beechslip.core.model import Backend
 from beechslip.counters import Counters
 from beechslip.platform.changelog import ChangeLogReader
-from lab.stand import HANG, RESET, StandBackend, listening, read_message, run, until
+from lab.stand import HANG, RESET, FakeBackend, listening, read_message, run, until
 
 
-class ScriptedChangeLog(StandBackend):
+class ScriptedChangeLog(FakeBackend):
     """A change log whose script holds one complete stream per connection."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -46,7 +46,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running_reader(fake_log: StandBackend) -> AsyncIterator[tuple[ChangeLogReader, list[Any]]]:
+async def running_reader(fake_log: FakeBackend) -> AsyncIterator[tuple[ChangeLogReader, list[Any]]]:
     """Run a change log reader that has reached 3 and knows three backends. Yield it and what it posts."""
     posted: list[Any] = []
     async with listening(fake_log):
@@ -67,7 +67,7 @@
         return b'id: %d\ndata: {"seq":%d,"invalidate":{"bucket":%d,"time":9}}\n\n' % (seq, seq, seq)
 
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
-    fake_log = StandBackend("log", head + event(4) + event(5) + RESET, head + event(5) + event(6))
+    fake_log = FakeBackend("log", head + event(4) + event(5) + RESET, head + event(5) + event(6))
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         fake_log.seen.append(await read_message(reader))
@@ -90,7 +90,7 @@
 @run
 async def test_reader_reconnects_to_silent_change_log(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beechslip.platform.changelog.SILENCE_TIMEOUT_S", 0.01)
-    fake_log = StandBackend("log", HANG)
+    fake_log = FakeBackend("log", HANG)
     async with listening(fake_log):
         host, port = fake_log.address.split(":")
         task = asyncio.create_task(ChangeLogReader(Address(host, int(port)), 3, lambda _: None, Counters()).run())
@@ -232,7 +232,7 @@
 async def test_reader_parses_bytewise_events_with_any_line_end(end: bytes) -> None:
     event = b'\xef\xbb\xbf: hello\nid:4\nevent: x\ndata:{"seq":4,\ndata:"invalidate":{"object":"4","time":1}}\n\n'
 
-    class BytewiseChangeLog(StandBackend):
+    class BytewiseChangeLog(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -16,8 +16,8 @@
 from lab.stand import (
     HANG,
     OK,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
     fetch,
     read_message,
     run,
@@ -35,7 +35,7 @@
 async def test_request_received_while_its_connection_is_to_be_closed_is_answered(
     monkeypatch: pytest.MonkeyPatch, ending: str, status: int
 ) -> None:
-    async with Stand(StandBackend("a"), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(FakeBackend("a"), module=ScriptedRouter("a")) as stand:
         server = stand.front._server
 
         def evict(_: ClientConnection) -> None:
@@ -62,7 +62,7 @@
 async def test_request_handled_after_its_connection_ended_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with Stand(backend := StandBackend("a"), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(backend := FakeBackend("a"), module=ScriptedRouter("a")) as stand:
         async with client(stand.port) as raw_client:
             run_after_reading(monkeypatch, lambda connection: connection.force_close())
             raw_client.send(get_request_bytes())
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("ending", ["drain", "handing over", "diverted"])
 async def test_pipelined_requests_are_answered_before_the_connection_closes(ending: str) -> None:
     async with (
-        Stand(backend := GatedBackend("a"), module=ScriptedRouter("a")) as stand,
+        InProcessProxy(backend := GatedBackend("a"), module=ScriptedRouter("a")) as stand,
         client(stand.port) as raw_client,
     ):
         raw_client.send(get_request_bytes() + get_request_bytes() + get_request_bytes()[:30])
@@ -100,7 +100,7 @@
 async def test_pipelined_requests_sent_at_once_or_bytewise_are_answered_in_order(is_sent_at_once: bool) -> None:
     responses = [OK.replace(b"waves", b"wave%d" % n) for n in range(3)]
     async with (
-        Stand(StandBackend("a", *responses), module=ScriptedRouter("a")) as stand,
+        InProcessProxy(FakeBackend("a", *responses), module=ScriptedRouter("a")) as stand,
         client(stand.port) as raw_client,
     ):
         sent_bytes = b"".join(get_request_bytes(f"/rpc/waveform/{n}") for n in range(3))
@@ -120,7 +120,7 @@
 @run
 async def test_queued_request_time_runs_from_its_own_last_byte() -> None:
     async with (
-        Stand(backend := GatedBackend("a"), module=(plan := ScriptedRouter("a"))) as stand,
+        InProcessProxy(backend := GatedBackend("a"), module=(plan := ScriptedRouter("a"))) as stand,
         client(stand.port) as raw_client,
     ):
         raw_client.send(get_request_bytes() + get_request_bytes(wait_ms=2000))
@@ -138,7 +138,7 @@
 async def test_connection_with_unread_response_releases_its_descriptor() -> None:
     large_response = OK.replace(b"5\r\n", b"200000\r\n").replace(b"waves", b"w" * 200_000)
     async with (
-        Stand(StandBackend("a", large_response), module=ScriptedRouter("a")) as stand,
+        InProcessProxy(FakeBackend("a", large_response), module=ScriptedRouter("a")) as stand,
         client(stand.port) as raw_client,
     ):
         raw_client.reader._transport.pause_reading()  # type: ignore[attr-defined]
@@ -152,8 +152,8 @@
 @run
 @pytest.mark.parametrize("is_retry", [False, True])
 async def test_disconnected_client_gets_no_attempt_even_before_the_engine_is_notified(is_retry: bool) -> None:
-    first_backend, second_backend = GatedBackend("a", ERROR_RESPONSE), StandBackend("b")
-    async with Stand(
+    first_backend, second_backend = GatedBackend("a", ERROR_RESPONSE), FakeBackend("b")
+    async with InProcessProxy(
         first_backend, second_backend, module=ScriptedRouter("a", "b") if is_retry else ScriptedRouter("b")
     ) as stand:
         postponed: list[object] = []
@@ -187,7 +187,7 @@
 async def test_disconnect_of_client_with_many_pipelined_requests_is_detected_at_once() -> None:
     # Once aiohttp's queue of requests is full, its transport would not be read any more, and the client's end would
     # not be detected.
-    async with Stand(backend := GatedBackend("a"), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(backend := GatedBackend("a"), module=ScriptedRouter("a")) as stand:
         async with client(stand.port) as raw_client:
             raw_client.send(b"".join(get_request_bytes() for _ in range(80)))
             await until(lambda: backend.seen)
@@ -215,7 +215,7 @@
     ],
 )
 async def test_bad_input_gets_a_4xx_and_later_requests_are_served(raw: bytes, status: int) -> None:
-    async with Stand(*default_backends()) as stand:
+    async with InProcessProxy(*default_backends()) as stand:
         assert (await fetch(stand.port, raw=raw))[0] == status
         assert (await stand.ask())[0] == 200 and stand.counters["bad_request"] == 1
         assert stand.counters["taken"] == 1  # no part of the bad input was forwarded
@@ -239,7 +239,7 @@
 async def test_connection_without_complete_request_or_idle_is_closed(
     request_bytes: bytes, ms: float, counter: str
 ) -> None:
-    async with Stand(*default_backends()) as stand:
+    async with InProcessProxy(*default_backends()) as stand:
         reader, writer = await asyncio.open_connection("127.0.0.1", stand.port)
         writer.write(request_bytes)
         if counter == "closed.idle":
@@ -256,7 +256,7 @@
 
 @run
 async def test_full_server_evicts_longest_idle_connection_but_never_a_pending_request() -> None:
-    async with Stand(*default_backends(HANG), sockets=6) as stand:  # enough for three clients
+    async with InProcessProxy(*default_backends(HANG), sockets=6) as stand:  # enough for three clients
         pending_response = stand.ask(Req_Id="9b1f03aa5c7e2d41")
         await until(lambda: stand.counters["taken"])
         idle_connections = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]()
@@ -278,7 +278,7 @@
 
 @run
 async def test_draining_front_refuses_new_requests_and_answers_pending_ones() -> None:
-    async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         pending_response = stand.ask(wait_ms=2000)
         await until(lambda: stand.counters["taken"])
         reader, writer = await asyncio.open_connection("127.0.0.1", stand.port)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -35,11 +35,11 @@
 from lab.stand import (
     OK,
     SETTINGS,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
+    endpoint_entry,
     fetch,
     free_port,
-    line,
     listening,
     read_message,
     run,
@@ -53,7 +53,7 @@
 
 @run
 async def test_new_settings_do_not_bring_a_draining_backend_back_into_use() -> None:
-    async with Stand(*(backends := [StandBackend("a"), StandBackend("b")])) as stand:
+    async with InProcessProxy(*(backends := [FakeBackend("a"), FakeBackend("b")])) as stand:
         stand.engine.handle_message(EndpointListUpdate("changes", (backends[0].entry("draining"),)))
         stand.engine.handle_message(SettingsChanged(replace(stand.settings, max_attempts=3)))
         for n in range(8):
@@ -84,7 +84,7 @@
             testbed.change_log.resume()
             await until(lambda: len(testbed.change_log.resumed_from) > stream_count)
             testbed.change_log.publish(
-                2, fleet={"snapshot": False, "endpoints": [line(testbed.backends[0], "leaving")]}
+                2, fleet={"snapshot": False, "endpoints": [endpoint_entry(testbed.backends[0], "leaving")]}
             )
             while not testbed.backends[1].seen:
                 assert (await fetch(testbed.port))[0] == 200
@@ -205,7 +205,7 @@
 # A backend in slow start ----------------------------------------------------------------------------
 
 
-class TimestampingBackend(StandBackend):
+class TimestampingBackend(FakeBackend):
     """A backend that records when requests arrive, on the test's clock."""
 
     def __init__(self, name: str, clock: ManualClock) -> None:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -17,8 +17,8 @@
 import pytest
 
 from beechslip.config import ConfigError, read_config
-from lab.stand import HANG, SETTINGS, Stand, StandBackend, fetch, read_message, run, until
-from tests.test_program import ROOT, ProxyProcess, free_port, line, proxy_process
+from lab.stand import HANG, SETTINGS, FakeBackend, InProcessProxy, fetch, read_message, run, until
+from tests.test_program import ROOT, ProxyProcess, endpoint_entry, free_port, proxy_process
 
 READY = ("/v1/readyz", "GET")
 DRAIN, ACTIVATE = ("/v1/doorman/drain", "POST"), ("/v1/doorman/activate", "POST")
@@ -42,8 +42,8 @@
 
 @run
 async def test_front_diverts_and_readmits_clients() -> None:
-    backends = [StandBackend("a"), StandBackend("archive", kind="origin", zone="north")]
-    async with Stand(*backends) as stand:
+    backends = [FakeBackend("a"), FakeBackend("archive", kind="origin", zone="north")]
+    async with InProcessProxy(*backends) as stand:
         idle_client, early_client, late_client = [
             await asyncio.open_connection("127.0.0.1", stand.port) for _ in range(3)
         ]
@@ -87,7 +87,7 @@
         silent_connections = [await asyncio.open_connection("127.0.0.1", ops_port) for _ in range(40)]
         assert await fetch_status(ops_port, *READY) == 503  # no backends are known yet
         proxy.change_log.publish(
-            1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in proxy.backends]}
+            1, fleet={"snapshot": True, "endpoints": [endpoint_entry(backend) for backend in proxy.backends]}
         )
         while await fetch_status(ops_port, *READY) != 200:
             await asyncio.sleep(0.01)
@@ -163,7 +163,7 @@
 
 @run
 async def test_front_that_stopped_accepting_closes_connections_once_answered() -> None:
-    async with Stand(StandBackend("a"), StandBackend("archive", kind="origin", zone="north")) as stand:
+    async with InProcessProxy(FakeBackend("a"), FakeBackend("archive", kind="origin", zone="north")) as stand:
         reader, writer = await asyncio.open_connection("127.0.0.1", stand.port)
         await request_on(reader, writer)
         stand.front.stop_accepting()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -25,11 +25,11 @@
     HANG,
     OK,
     SETTINGS,
-    StandBackend,
-    StandLog,
+    FakeBackend,
+    FakeChangeLog,
+    endpoint_entry,
     fetch,
     free_port,
-    line,
     listening,
     read_message,
     run,
@@ -42,8 +42,8 @@
 class ProxyProcess:
     """A proxy process, and the backends and the change log that it uses."""
 
-    def __init__(self, folder: Path, backend_type: type[StandBackend] = StandBackend) -> None:
-        self.folder, self.port, self.change_log = folder, free_port(), StandLog()
+    def __init__(self, folder: Path, backend_type: type[FakeBackend] = FakeBackend) -> None:
+        self.folder, self.port, self.change_log = folder, free_port(), FakeChangeLog()
         self.backends = [
             backend_type("a"),
             backend_type("b"),
@@ -54,7 +54,7 @@
         self.env = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
 
     def write_config(self, has_known_events: bool = True) -> Path:
-        fleet = {"index": 1, "snapshot": True, "endpoints": [line(backend) for backend in self.backends]}
+        fleet = {"index": 1, "snapshot": True, "endpoints": [endpoint_entry(backend) for backend in self.backends]}
         path = self.folder / "config.json"
         path.write_text(
             json.dumps(
@@ -105,7 +105,7 @@
 
 
 @contextlib.asynccontextmanager
-async def proxy_process(folder: Path, backend_type: type[StandBackend] = StandBackend) -> AsyncIterator[ProxyProcess]:
+async def proxy_process(folder: Path, backend_type: type[FakeBackend] = FakeBackend) -> AsyncIterator[ProxyProcess]:
     """Run the backends and the change log of a ``ProxyProcess``, which the caller starts; kill it at the end."""
     proxy = ProxyProcess(folder, backend_type)
     server = await asyncio.start_server(proxy.change_log.serve, "127.0.0.1", 0)
@@ -129,7 +129,7 @@
         assert (await fetch(proxy.port, "/rpc/pick-submit/9c", "PUT", b"pick", Req_Token="5c"))[0] == 200
         assert (await fetch(proxy.port, "/rpc/none/9c"))[0] == 404
         leaving = next(backend for backend in proxy.backends if backend.seen)
-        proxy.change_log.publish(2, fleet={"snapshot": False, "endpoints": [line(leaving, "leaving")]})
+        proxy.change_log.publish(2, fleet={"snapshot": False, "endpoints": [endpoint_entry(leaving, "leaving")]})
         other = proxy.backends[1 - proxy.backends.index(leaving)]
         while not other.seen:
             assert (await fetch(proxy.port))[2] == b"waves"
@@ -145,7 +145,7 @@
 async def test_proxy_answers_requests_that_arrive_after_sigterm(tmp_path: Path) -> None:
     release = asyncio.Event()
 
-    class BlockingBackend(StandBackend):
+    class BlockingBackend(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
             await release.wait()
@@ -201,7 +201,7 @@
         with pytest.raises(OSError):
             await fetch(proxy.port, "/health")
         proxy.change_log.publish(
-            1, fleet={"snapshot": True, "endpoints": [line(backend) for backend in proxy.backends]}
+            1, fleet={"snapshot": True, "endpoints": [endpoint_entry(backend) for backend in proxy.backends]}
         )
         await proxy.wait_until_ready()
         assert (await fetch(proxy.port))[0] == 200
@@ -219,18 +219,18 @@
             while text not in await process.stderr.readline():  # type: ignore[union-attr]
                 assert process.returncode is None
 
-        new_log, old_log = StandLog(), proxy.change_log
+        new_log, old_log = FakeChangeLog(), proxy.change_log
         server = await asyncio.start_server(new_log.serve, "127.0.0.1", 0)
         new_log.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         (tmp_path / "config.json").write_text("{")
         process.send_signal(signal.SIGHUP)
         await wait_for_log(b"new configuration rejected")
-        old_log.publish(2, fleet={"snapshot": False, "endpoints": [line(proxy.backends[0], "leaving")]})
+        old_log.publish(2, fleet={"snapshot": False, "endpoints": [endpoint_entry(proxy.backends[0], "leaving")]})
         await wait_for_log(b"a 127.0.0.1")
         proxy.change_log = new_log
         proxy.write_config()
         process.send_signal(signal.SIGHUP)
-        new_log.publish(3, fleet={"snapshot": False, "endpoints": [line(proxy.backends[1], "leaving")]})
+        new_log.publish(3, fleet={"snapshot": False, "endpoints": [endpoint_entry(proxy.backends[1], "leaving")]})
         await wait_for_log(b"b 127.0.0.1")
         # The new change log is read from the last event of the old one on.
         assert (old_log.resumed_from, new_log.resumed_from) == (["1"], ["2"])
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -32,11 +32,11 @@
 from lab.stand import (
     OK,
     SETTINGS,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
+    endpoint_entry,
     fetch,
     free_port,
-    line,
     listening,
     read_message,
     run,
@@ -53,14 +53,14 @@
 @asynccontextmanager
 async def proxy_with_sent_log(
     url: str, *script: bytes, **config: Any
-) -> AsyncIterator[tuple[Stand, StoredSentRequestLog]]:
+) -> AsyncIterator[tuple[InProcessProxy, StoredSentRequestLog]]:
     """A proxy with a sent-request log in the store at ``url``, whose backends respond by ``script``."""
     backends = (
-        StandBackend("a", *script),
-        StandBackend("hub", *script, kind="parent", zone="north"),
-        StandBackend("archive", *script, kind="origin", zone="north"),
+        FakeBackend("a", *script),
+        FakeBackend("hub", *script, kind="parent", zone="north"),
+        FakeBackend("archive", *script, kind="origin", zone="north"),
     )
-    async with Stand(*backends) as stand:
+    async with InProcessProxy(*backends) as stand:
         sent_log = StoredSentRequestLog(
             SentRequestConfig(url, **({"wait_ms": 3000.0, "keep_s": 60.0} | config)), stand.clock, stand.counters
         )
@@ -69,11 +69,11 @@
         sent_log.close()
 
 
-def submit_keyed_request(stand: Stand, token: str = "5c") -> Any:
+def submit_keyed_request(stand: InProcessProxy, token: str = "5c") -> Any:
     return stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", wait_ms=1500, Req_Token=token)
 
 
-def count_sends(stand: Stand) -> int:
+def count_sends(stand: InProcessProxy) -> int:
     return sum(len(d.seen) for d in stand.backends)
 
 
@@ -175,7 +175,7 @@
 # Proxies killed at random points ------------------------------------------------------------------------------
 
 
-class RecordingBackend(StandBackend):
+class RecordingBackend(FakeBackend):
     """Records when each token arrived; answers after 0.3 s, so that proxies are killed in between."""
 
     def __init__(self, name: str, kind: str, zone: str, arrivals: dict[str, list[float]]) -> None:
@@ -221,7 +221,11 @@
                         "results": [
                             {
                                 "seq": 1,
-                                "fleet": {"index": 1, "snapshot": True, "endpoints": [line(d) for d in backends]},
+                                "fleet": {
+                                    "index": 1,
+                                    "snapshot": True,
+                                    "endpoints": [endpoint_entry(d) for d in backends],
+                                },
                             }
                         ],
                     },
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -19,7 +19,7 @@
 from beechslip.proxy import Proxy
 from beechslip.routing import interface as i
 from beechslip.routing.wire.settings import read_settings
-from lab.stand import HANG, OK, RESET, SETTINGS, Stand, fetch, run, until
+from lab.stand import HANG, OK, RESET, SETTINGS, InProcessProxy, fetch, run, until
 from tests.helpers import RouterDriver, attempts
 from tests.test_dns import ZONE, DnsStand
 from tests.test_program import proxy_process
@@ -151,7 +151,7 @@
     unsafe = replace(
         OLD_SETTINGS, classes={"waveform": replace(OLD_SETTINGS.classes["waveform"], effect="unsafe")}, max_attempts=2
     )
-    async with Stand(*default_backends(HANG), module=ScriptedRouter("a", "b")) as stand:
+    async with InProcessProxy(*default_backends(HANG), module=ScriptedRouter("a", "b")) as stand:
         answer = stand.ask()
         await until(lambda: stand.backends[0].seen)
         stand.engine.post(SettingsChanged(unsafe))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,11 +14,11 @@
 from beechslip.core.model import ClientRequest, FinalResponse
 from beechslip.routing import interface as i
 from lab.stand import (
-    COPY,
+    COPY_FIELDS,
     HANG,
     OK,
-    Stand,
-    StandBackend,
+    FakeBackend,
+    InProcessProxy,
     read_message,
     run,
     until,
@@ -28,12 +28,12 @@
 ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
-def default_backends(*scripts: bytes) -> list[StandBackend]:
+def default_backends(*scripts: bytes) -> list[FakeBackend]:
     return [
-        StandBackend("a", *scripts),
-        StandBackend("b", *scripts),
-        StandBackend("hub", kind="parent", zone="north"),
-        StandBackend("archive", kind="origin", zone="north"),
+        FakeBackend("a", *scripts),
+        FakeBackend("b", *scripts),
+        FakeBackend("hub", kind="parent", zone="north"),
+        FakeBackend("archive", kind="origin", zone="north"),
     ]
 
 
@@ -67,20 +67,20 @@
 
 @run
 async def test_bodies_entity_tags_and_304_responses_are_forwarded() -> None:
-    not_modified = b"HTTP/1.1 304 Not Modified\r\n" + COPY + b"X-Result: local\r\n\r\n"
-    async with Stand(*default_backends(OK, not_modified)) as stand:
+    not_modified = b"HTTP/1.1 304 Not Modified\r\n" + COPY_FIELDS + b"X-Result: local\r\n\r\n"
+    async with InProcessProxy(*default_backends(OK, not_modified)) as stand:
         status, fields, body = await stand.ask()
         assert (status, fields["ETag"], body) == (200, '"4be0"', b"waves")
         status, fields, body = await stand.ask(If_None_Match='"4be0"')
         assert (status, fields["ETag"], body) == (304, '"4be0"', b"")
-        asked = stand.home()[0].seen
+        asked = stand.ranked_caches()[0].seen
         assert asked[1][1]["X-Validator"] == "4be0" and asked[0][0] == "GET /data/waveform/7f3a/0 HTTP/1.1"
         assert not {"User-Agent", "Accept", "Accept-Encoding"} & set(asked[0][1])
 
 
 @run
 async def test_silent_backend_gives_one_final_answer_before_the_client_deadline() -> None:
-    async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         asked = stand.ask(wait_ms=2000)
         await until(lambda: stand.backends[0].seen)
         stand.clock.advance(1999)
@@ -93,13 +93,13 @@
     # On some days a third of the clients wait little longer than the transfer takes.
     may_answer = asyncio.Event()
 
-    class SlowBackend(StandBackend):
+    class SlowBackend(FakeBackend):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.seen.append(await read_message(reader))
             await may_answer.wait()
             writer.write(OK)
 
-    async with Stand(SlowBackend("a"), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(SlowBackend("a"), module=ScriptedRouter("a")) as stand:
         asked = stand.ask(wait_ms=100)
         await until(lambda: stand.backends[0].seen)
         stand.clock.advance(90)
@@ -113,7 +113,7 @@
         def next_actions(self, request: str, wait: float) -> list[i.Action]:
             return []
 
-    async with Stand(*default_backends(), module=SilentRouter()) as stand:
+    async with InProcessProxy(*default_backends(), module=SilentRouter()) as stand:
         asked = stand.ask(wait_ms=2000)
         await until(lambda: stand.counters["taken"])
         stand.clock.advance(1999)
@@ -126,7 +126,7 @@
         def next_actions(self, request: str, wait: float) -> list[i.Action]:
             raise IndexError("out of reach")
 
-    async with Stand(*default_backends(), module=RaisingRouter()) as stand:
+    async with InProcessProxy(*default_backends(), module=RaisingRouter()) as stand:
         assert [(await stand.ask())[0], (await stand.ask())[0]] == [500, 500]
         assert stand.counters["fault.module"] == 2
 
@@ -134,8 +134,8 @@
 @run
 async def test_cancelled_attempt_is_closed_before_the_next_one_starts() -> None:
     # Guards against two attempts at the same time: the connection of the first must be closed, not only dropped.
-    backends = [StandBackend("a", HANG), StandBackend("b")]
-    async with Stand(*backends, module=ScriptedRouter("a", "b")) as stand:
+    backends = [FakeBackend("a", HANG), FakeBackend("b")]
+    async with InProcessProxy(*backends, module=ScriptedRouter("a", "b")) as stand:
         asked = stand.ask()
         await until(lambda: backends[0].seen)
         next(iter(stand.engine._attempts.in_flight.values())).stop("cancelled")
@@ -151,7 +151,7 @@
             both = len(self.remaining_backends[request]) == 2
             return super().next_actions(request, wait) + super().next_actions(request, wait) if both else []
 
-    async with Stand(*default_backends(), module=DoubleAttemptRouter("a", "b")) as stand:
+    async with InProcessProxy(*default_backends(), module=DoubleAttemptRouter("a", "b")) as stand:
         assert (await stand.ask())[0] == 200
         assert [len(backend.seen) for backend in stand.backends[:2]] == [1, 0]
         assert stand.counters["attempt.moot"] == 1
@@ -159,7 +159,7 @@
 
 @run
 async def test_number_of_attempts_is_limited() -> None:
-    async with Stand(*default_backends(ERROR_RESPONSE), module=ScriptedRouter(*"abababababab")) as stand:
+    async with InProcessProxy(*default_backends(ERROR_RESPONSE), module=ScriptedRouter(*"abababababab")) as stand:
         assert (await stand.ask())[0] == 502
         assert sum(len(backend.seen) for backend in stand.backends) == 8
 
@@ -168,7 +168,7 @@
 async def test_attempt_stopped_before_its_first_step_still_gives_an_outcome() -> None:
     # The task of the attempt runs none of its code then. Without an outcome the router module would count the attempt
     # as in flight forever.
-    async with Stand(*default_backends(), module=(router := ScriptedRouter("a"))) as stand:
+    async with InProcessProxy(*default_backends(), module=(router := ScriptedRouter("a"))) as stand:
         response_sink: Any = type(
             "Sink", (), {"answer": staticmethod(lambda final: None), "has_client_departed": False}
         )()
@@ -184,7 +184,7 @@
 async def test_no_attempt_goes_to_or_through_a_draining_backend(draining_name: str) -> None:
     # The notice arrives after the router module has chosen and before the first byte is sent: connecting takes time.
     router = ScriptedRouter("a", source="hub")
-    async with Stand(*default_backends(), module=router) as stand:
+    async with InProcessProxy(*default_backends(), module=router) as stand:
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
         call = ClientRequest("1", "waveform", "7f3a", wait_ms=3000.0, arrived_ms=stand.clock.now_ms())
         response_sink: Any = type(
@@ -201,8 +201,8 @@
 
 @run
 async def test_purges_and_drain_notices_are_handled_before_queued_requests() -> None:
-    async with Stand(*default_backends()) as stand:
-        home, other = stand.home()
+    async with InProcessProxy(*default_backends()) as stand:
+        home, other = stand.ranked_caches()
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
         response_sink: Any = type(
             "Sink", (), {"answer": staticmethod(final.set_result), "has_client_departed": False}
@@ -219,7 +219,7 @@
 @run
 async def test_purge_age_is_computed_when_the_router_module_gets_it() -> None:
     router = ScriptedRouter()
-    async with Stand(*default_backends(), module=router) as stand:
+    async with InProcessProxy(*default_backends(), module=router) as stand:
         stand.engine.post(PurgeReceived("7f3a", 0, stand.clock.now_ms() - 100))
         stand.clock.advance(400)
         await until(lambda: any(isinstance(event, i.Purge) for event in router.received_events))
@@ -228,7 +228,7 @@
 
 @run
 async def test_write_goes_to_the_origin_once_with_its_key_and_body() -> None:
-    async with Stand(*default_backends()) as stand:
+    async with InProcessProxy(*default_backends()) as stand:
         status, _, _ = await stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", Req_Token="5c0f")
         seen = [(backend.name, *message) for backend in stand.backends for message in backend.seen]
         assert status == 200 and len(seen) == 1
@@ -241,7 +241,7 @@
 async def test_keyed_request_is_not_repeated_after_its_window() -> None:
     # A backend that discards repeats for 6 s would execute one that arrives later.
     router = ScriptedRouter("a", "b")
-    async with Stand(*default_backends(HANG), module=router) as stand:
+    async with InProcessProxy(*default_backends(HANG), module=router) as stand:
         stand.engine.settings.classes["pick-submit"] = replace(
             stand.engine.settings.classes["pick-submit"], window=0.5
         )
@@ -255,7 +255,7 @@
 @run
 async def test_many_failed_requests_are_all_counted_and_only_partly_logged(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", "beechslip.engine")
-    async with Stand(module=ScriptedRouter()) as stand:
+    async with InProcessProxy(module=ScriptedRouter()) as stand:
         for n in range(50):
             response_sink: Any = type(
                 "Answerer", (), {"answer": staticmethod(lambda final: None), "has_client_departed": False}
@@ -268,7 +268,7 @@
 
 @run
 async def test_departed_client_ends_its_attempt() -> None:
-    async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         asked = stand.ask()
         await until(lambda: stand.backends[0].seen)
         asked.cancel()
@@ -284,14 +284,14 @@
         def next_actions(self, request: str, wait: float) -> list[i.Action]:
             return [i.Refuse(request, 0.25)]
 
-    async with Stand(*default_backends(), module=RejectingRouter()) as stand:
+    async with InProcessProxy(*default_backends(), module=RejectingRouter()) as stand:
         status, fields, _ = await stand.ask()
         assert (status, fields["Srv-Wait-Ms"]) == (503, "250")
 
 
 @run
 async def test_request_with_the_id_of_an_open_one_is_rejected() -> None:
-    async with Stand(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(*default_backends(HANG), module=ScriptedRouter("a")) as stand:
         first = stand.ask(Req_Id="9b1f03aa5c7e2d41")
         await until(lambda: stand.backends[0].seen)
         assert (await stand.ask(Req_Id="9b1f03aa5c7e2d41"))[0] == 409
@@ -301,8 +301,8 @@
 @run
 @pytest.mark.parametrize("slow_start", [True, False])
 async def test_backend_in_slow_start_gets_no_more_than_its_allowance(slow_start: bool) -> None:
-    async with Stand(*default_backends(HANG)) as stand:
-        box, site_settings = stand.home()[0], stand.settings
+    async with InProcessProxy(*default_backends(HANG)) as stand:
+        box, site_settings = stand.ranked_caches()[0], stand.settings
         # In 3 s it may be sent 2.5 times its present capacity. Before anything is learned that is 0.18 of a transfer.
         max_attempts = (
             site_settings.overload_multiple
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -20,8 +20,8 @@
 from beechslip.core.messages import PurgeReceived
 from beechslip.platform.sockets import RetryingSocket
 from beechslip.routing import interface as i
-from lab.service_soak import served
-from lab.stand import OK, Stand, StandBackend, fetch, read_message, run, until
+from lab.service_soak import ok_response
+from lab.stand import OK, FakeBackend, InProcessProxy, fetch, read_message, run, until
 from tests.connection_helpers import GatedBackend, client, connections, get_request_bytes
 from tests.test_program import ROOT, ProxyProcess, proxy_process
 from tests.test_record import proxy_with_sent_log, submit_keyed_request
@@ -31,7 +31,7 @@
 SLACK_MS = 150.0  # tolerance for the deadline that is passed to a server
 
 
-class HangingBackend(StandBackend):
+class HangingBackend(FakeBackend):
     """Accepts connections and requests, answers nothing while it hangs, and records when each request came."""
 
     def __init__(self, name: str, **how: str) -> None:
@@ -47,7 +47,9 @@
                 if self.is_hanging:
                     await reader.read()
                     return
-                writer.write(served(self.seen[-1][0]))  # equal bytes for two objects would look like a second copy
+                writer.write(
+                    ok_response(self.seen[-1][0])
+                )  # equal bytes for two objects would look like a second copy
 
 
 class FaultyProxy:
@@ -187,7 +189,9 @@
 async def test_attempt_waiting_for_its_connection_respects_a_purge_received_meanwhile(
     purge: PurgeReceived,
 ) -> None:
-    async with Stand(StandBackend("a"), StandBackend("b"), StandBackend("hub", kind="parent", zone="north")) as stand:
+    async with InProcessProxy(
+        FakeBackend("a"), FakeBackend("b"), FakeBackend("hub", kind="parent", zone="north")
+    ) as stand:
         original_dial, may_dial = stand.client._pool._dial, asyncio.Event()
 
         async def delayed_dial(key: Any) -> Any:
@@ -263,7 +267,7 @@
 
 @run
 async def test_client_that_closes_with_unread_requests_gets_no_further_attempt() -> None:
-    async with Stand(backend := GatedBackend("a"), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(backend := GatedBackend("a"), module=ScriptedRouter("a")) as stand:
         async with client(stand.port) as raw_client:
             raw_client.send(b"".join(get_request_bytes(f"/rpc/waveform/{n:0200}") for n in range(4_000)))
             await until(lambda: backend.seen)
@@ -278,7 +282,7 @@
 async def test_client_that_disconnects_before_the_first_byte_is_written_gets_no_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with Stand(backend := StandBackend("a"), module=ScriptedRouter("a")) as stand:
+    async with InProcessProxy(backend := FakeBackend("a"), module=ScriptedRouter("a")) as stand:
         full = asyncio.Event()
 
         def send(sock: RetryingSocket, data: bytes, flags: int = 0) -> int:
@@ -366,8 +370,8 @@
         def next_actions(self, request: str, wait: float) -> list[i.Action]:
             return super().next_actions(request, wait) if self.remaining_backends[request] else [i.Refuse(request)]
 
-    async with Stand(
-        StandBackend("a", ERROR_RESPONSE), StandBackend("b", ERROR_RESPONSE), module=RejectingRouter("a", "b")
+    async with InProcessProxy(
+        FakeBackend("a", ERROR_RESPONSE), FakeBackend("b", ERROR_RESPONSE), module=RejectingRouter("a", "b")
     ) as stand:
         answer = await stand.ask(target="/rpc/pick-submit/9c", method="PUT", body=b"pick", Req_Token=token)
         assert (answer[0], sum(len(backend.seen) for backend in stand.backends)) == (status, executed)
@@ -376,7 +380,7 @@
 @run
 async def test_client_that_expects_100_continue_gets_it() -> None:
     async with (
-        Stand(backend := StandBackend("a"), module=ScriptedRouter("a")) as stand,
+        InProcessProxy(backend := FakeBackend("a"), module=ScriptedRouter("a")) as stand,
         client(stand.port) as raw_client,
     ):
         raw_client.send(
