--- a/bench/budget_measures.py
+++ b/bench/budget_measures.py
@@ -1,8 +1,9 @@
-"""Days of budgets in virtual time under load, with each way to divide the limits, and what is measured on them.
+"""Runs of a fleet with budgets in virtual time under load, and what is measured on them.
 
-Three limits (a warming backend's window over 3 s, fills in flight that last up to 6 s, retries a second), with the
-settings as shipped (lease 3 s, grant 2 s, tick 50 ms). Clients want a fraction of each over the fleet, and go to the
-living proxies when others die.
+Each run uses one way to divide the limits among the proxies (``DIVISIONS``). There are three limits: the requests to
+a warming backend within a window of 3 s, the fills in flight, which last up to 6 s, and the retries per second. The
+settings are those shipped (lease 3 s, grant 2 s, tick 50 ms). Clients request a fraction of each limit over the whole
+fleet. When proxies die, their clients go to the proxies that are alive.
 """
 
 from __future__ import annotations
@@ -22,31 +23,34 @@
 from lab.virtual_budgets import BudgetFleet
 from lab.virtual_plan import Net, Plan
 
-KINDS = ("window", "flight", "rate")
-WAYS = ("static", "lent", "pool")
-AFTER_S = (1.0, 3.0, 10.0)  # after the deaths
-TIMES = (-1.0, *AFTER_S, 43.0)  # s from the deaths: right before, after them, and when all are back
-WANTED = 0.6  # of each limit, by the clients of the whole fleet
-BEGIN_MS = 20_000.0  # the load begins past the quiet periods of the fleet's start
-DEATH_MS = 50_000.0
-END_MS = 95_000.0
-BACK_MS = 15_000.0  # from the deaths to the first restart
-BACK_SPREAD_MS = 5_000.0
-SAMPLE_MS = 100
-SAMPLE_SPAN_MS = 250.0  # samples this close to a time count for it
+LIMIT_KINDS = ("window", "flight", "rate")
+DIVISIONS = ("static", "lent", "pool")
+AFTER_DEATHS_S = (1.0, 3.0, 10.0)  # times at which the use of the limits is measured
+SAMPLE_TIMES_S = (-1.0, *AFTER_DEATHS_S, 43.0)  # from the deaths: before, after, and with all members back
+WANTED_FRACTION = 0.6  # of each limit, requested by the clients of the whole fleet
+LOAD_BEGIN_MS = 20_000.0  # after the quiet periods that follow the fleet's start
+DEATHS_AT_MS = 50_000.0
+RUN_END_MS = 95_000.0
+RESTART_DELAY_MS = 15_000.0  # from the deaths to the earliest restart
+RESTART_SPREAD_MS = 5_000.0
+SAMPLE_INTERVAL_MS = 100
+MAX_SAMPLE_DISTANCE_MS = 250.0  # samples at most this far from a time count for it
 TICK_MS = 50.0
-LATE_MS = 1000.0  # by at most so much datagrams are late
-WIRE_SIZE = 10  # members of the fleets whose bytes are counted
-NO_DRILL_MS = 1e12
+MAX_LATENESS_MS = 1000.0  # of datagrams
+ENCODED_FLEET_SIZE = 10  # members; bytes are counted in fleets of this size only
+NO_DRILL_MS = 1e12  # interval between drills: longer than any run
 MEAN_FLIGHT_MS = 1000.0
-NEWCOMER_MS = 30_000.0  # a newcomer is watched for so long
-NEWCOMER_PART = 0.8  # of an even part of what clients want
+NEWCOMER_WATCH_MS = 30_000.0  # how long a newcomer is observed
+NEWCOMER_TARGET_FRACTION = 0.8  # of an even share of what clients request
 
 
-def limits_for(size: int, way: str) -> tuple[FleetLimit, ...]:
-    """The limits of a fleet of ``size``. Floors of half (``pool``) still hold several spendings each, as the file's
-    check requires."""
-    floor_share = 0.5 if way == "pool" else 1.0
+def fleet_limits(size: int, division: str) -> tuple[FleetLimit, ...]:
+    """Return the limits of a fleet of ``size`` members.
+
+    With the division ``pool`` a floor is half of the even share. Such a floor still covers several requests, as the
+    check of the settings file requires.
+    """
+    floor_share = 0.5 if division == "pool" else 1.0
     return (
         FleetLimit("window", "window", 12.0 * size, 3000.0, floor_share, travel_ms=100.0),
         FleetLimit("flight", "flight", 12.0 * size, 6000.0, floor_share, travel_ms=100.0),
@@ -56,34 +60,40 @@
 
 @dataclass(slots=True)
 class RequestCount:
-    """Requests of one member: all that clients made, and those that found capacity."""
+    """The requests of one member: all that clients made, and those for which there was capacity."""
 
     made: int = 0
     served: int = 0
 
 
-class Day(BudgetFleet):
-    """Clients want a steady amount over the fleet, by the proxies' weights; a request that finds no capacity is
-    lost."""
+class LoadedFleet(BudgetFleet):
+    """A fleet with budgets under steady load, divided among the proxies by their weights.
+
+    A request for which there is no capacity is lost.
+    """
 
     def __init__(
         self,
         size: int,
         seed: int,
-        way: str,
+        division: str,
         net: Net,
         until_ms: float,
         faults: list[tuple[float, str, Any]],
         weights: dict[str, float] | None = None,
         wire: bool = False,
-        wanted: float = WANTED,
+        wanted: float = WANTED_FRACTION,
     ) -> None:
-        """``way`` is one of ``WAYS`` (or a subclass's own), ``weights`` by member (default 1)."""
-        self.way = way
+        """Schedule the run's faults and samples.
+
+        ``division`` is one of ``DIVISIONS`` or one that a subclass adds. ``weights`` is by member; the default is 1.
+        ``wanted`` is the fraction of each limit that clients request.
+        """
+        self.division = division
         self.weights = weights or {}
         self.wanted = wanted
         self.requests = {f"d{n}": RequestCount() for n in range(size)}
-        self.samples: list[tuple[float, dict[str, float]]] = []  # when, and the fraction of each limit in use
+        self.samples: list[tuple[float, dict[str, float]]] = []  # time, fraction of each limit in use
         plan = Plan(
             size,
             (LEASE,),
@@ -95,9 +105,9 @@
             drill_every_ms=NO_DRILL_MS,
             wire=wire,
         )
-        self._chance = random.Random(f"day {seed}")
-        super().__init__(seed, plan, limits_for(size, way))
-        for at in range(0, int(until_ms), SAMPLE_MS):
+        self._load_rng = random.Random(f"day {seed}")
+        super().__init__(seed, plan, fleet_limits(size, division))
+        for at in range(0, int(until_ms), SAMPLE_INTERVAL_MS):
             self._at(float(at), self._sample)
 
     def _sample(self) -> None:
@@ -105,38 +115,38 @@
         self.samples.append((self.now, in_use))
 
     def violations(self) -> int:
-        """How often a limit was exceeded."""
+        """Return how often a limit was exceeded."""
         return sum(len(checker.violations) for checker in self.checkers.values())
 
-    def total(self) -> RequestCount:
-        """The requests of all members."""
+    def total_requests(self) -> RequestCount:
+        """Return the requests of all members."""
         counts = self.requests.values()
         return RequestCount(sum(count.made for count in counts), sum(count.served for count in counts))
 
     def served_fraction(self, members: list[str]) -> float:
-        """Of what clients wanted of ``members``."""
+        """Return the fraction of the requests to ``members`` that was served."""
         made = sum(self.requests[name].made for name in members)
         return sum(self.requests[name].served for name in members) / made
 
     def mean_in_use(self, kind: str, at_ms: float) -> float:
-        """The mean fraction of a limit in use around ``at_ms``."""
-        return float(np.mean([used[kind] for t, used in self.samples if abs(t - at_ms) <= SAMPLE_SPAN_MS]))
+        """Return the mean fraction in use of the limit ``kind`` around ``at_ms``."""
+        return float(np.mean([used[kind] for t, used in self.samples if abs(t - at_ms) <= MAX_SAMPLE_DISTANCE_MS]))
 
-    def _weight(self, name: str) -> float:
-        """Its part of what the fleet's clients want; those of the dead go to the living."""
+    def _traffic_share(self, name: str) -> float:
+        """Return the fraction of the fleet's requests that go to ``name``; members that are alive share them all."""
         return self.weights.get(name, 1.0) / sum(self.weights.get(n, 1.0) for n in self.members)
 
     def _turn(self, name: str, one: Any) -> None:
         VirtualFleet._turn(self, name, one)
         node = self.nodes[name]
         local = self._local(one)
-        if self.way != "static":
+        if self.division != "static":
             self._pass_on(name, node.tick(local))
-        if self.now < BEGIN_MS:
+        if self.now < LOAD_BEGIN_MS:
             return
         for limit in self.base:
-            mean = self.wanted * _per_second(limit) * self._weight(name) * self.plan.tick_ms / 1000.0
-            for _ in range(_poisson(self._chance, mean)):
+            mean = self.wanted * _per_second(limit) * self._traffic_share(name) * self.plan.tick_ms / 1000.0
+            for _ in range(_poisson(self._load_rng, mean)):
                 is_served = node.spend(local, [Cost(limit.name, 1.0)])
                 node.confirm(local)
                 self.requests[name].made += 1
@@ -149,19 +159,19 @@
         began = self.now + 1.0
         self._at(began, lambda: checker.spend(self.now, name, cost))
         if checker.limit.kind == "flight":
-            flight_ms = self._chance.expovariate(1 / MEAN_FLIGHT_MS)
+            flight_ms = self._load_rng.expovariate(1 / MEAN_FLIGHT_MS)
             ended = began + min(flight_ms, checker.limit.tail_ms - 200.0)
             self._at(ended, checker.release)
             self._at(ended, partial(self._release, name, self._lives[name], limit, True))
 
 
 def _per_second(limit: FleetLimit) -> float:
-    """Spendings a second that use the limit up. An attempt in flight lasts 1 s here in the mean."""
+    """Return the requests per second that use up the limit. An attempt in flight lasts 1 s here on average."""
     return limit.amount / 3.0 if limit.kind == "window" else limit.amount
 
 
 def _poisson(rng: random.Random, mean: float) -> int:
-    """A Poisson number by Knuth's multiplication of uniform draws."""
+    """Draw a Poisson-distributed number by Knuth's multiplication of uniform draws."""
     count = 0
     bound = math.exp(-mean)
     product = rng.random()
@@ -172,17 +182,20 @@
 
 
 def death_faults(rng: random.Random, size: int, fraction: float) -> list[tuple[float, str, Any]]:
-    """A ``fraction`` of the members die at once under load and are back 15 to 20 s later with nothing."""
+    """Let a ``fraction`` of the members die at once under load and restart 15 to 20 s later with empty memory."""
     dead = rng.sample([f"d{n}" for n in range(size)], round(fraction * size))
-    faults: list[tuple[float, str, Any]] = [(DEATH_MS, "kill", name) for name in dead]
-    faults += [(DEATH_MS + BACK_MS + rng.uniform(0, BACK_SPREAD_MS), "start", name) for name in dead]
+    faults: list[tuple[float, str, Any]] = [(DEATHS_AT_MS, "kill", name) for name in dead]
+    faults += [(DEATHS_AT_MS + RESTART_DELAY_MS + rng.uniform(0, RESTART_SPREAD_MS), "start", name) for name in dead]
     return faults
 
 
 @dataclass(frozen=True, slots=True)
 class DeathsResult:
-    """A day with deaths: the fraction of each limit in use by kind and time (``TIMES``), the fraction of the requests
-    served, datagrams and bytes a request, the number of requests, and violations."""
+    """Results of a run with deaths.
+
+    ``in_use`` is the fraction of each limit in use, by kind of limit and time (``SAMPLE_TIMES_S``). ``served`` is the
+    fraction of the requests that was served. ``datagrams`` and ``data_bytes`` are per request.
+    """
 
     in_use: dict[tuple[str, float], float]
     served: float
@@ -192,71 +205,90 @@
     violations: int
 
 
-def deaths(size: int, fraction: float, loss: float, way: str, seed: int) -> DeathsResult:
-    """A day on which a ``fraction`` of the members die (:func:`death_faults`)."""
+def measure_deaths(size: int, fraction: float, loss: float, division: str, seed: int) -> DeathsResult:
+    """Run a fleet in which a ``fraction`` of the members die (:func:`death_faults`)."""
     faults = death_faults(random.Random(f"deaths {size} {seed}"), size, fraction)
-    day = Day(size, seed, way, Net(loss, 0.0, loss, LATE_MS), END_MS, faults, wire=size == WIRE_SIZE)
-    day.run()
-    total = day.total()
+    fleet = LoadedFleet(
+        size,
+        seed,
+        division,
+        Net(loss, 0.0, loss, MAX_LATENESS_MS),
+        RUN_END_MS,
+        faults,
+        wire=size == ENCODED_FLEET_SIZE,
+    )
+    fleet.run()
+    total_requests = fleet.total_requests()
     return DeathsResult(
-        {(kind, after): day.mean_in_use(kind, DEATH_MS + 1000.0 * after) for kind in KINDS for after in TIMES},
-        served=total.served / total.made,
-        datagrams=day.sent / total.made,
-        data_bytes=(day.bytes + day.budget_bytes) / total.made,
-        requests=total.made,
-        violations=day.violations(),
+        {
+            (kind, after): fleet.mean_in_use(kind, DEATHS_AT_MS + 1000.0 * after)
+            for kind in LIMIT_KINDS
+            for after in SAMPLE_TIMES_S
+        },
+        served=total_requests.served / total_requests.made,
+        datagrams=fleet.sent / total_requests.made,
+        data_bytes=(fleet.bytes + fleet.budget_bytes) / total_requests.made,
+        requests=total_requests.made,
+        violations=fleet.violations(),
     )
 
 
 @dataclass(frozen=True, slots=True)
 class UnequalResult:
-    """The fractions of the requests served, of the busy proxies, the others and all; and violations."""
+    """The fractions of the requests served by the busy proxies, by the others and by all, and the violations."""
 
-    busy: float
-    others: float
-    all: float
+    busy_served: float
+    others_served: float
+    all_served: float
     violations: int
 
 
-def unequal(wanted: float, size: int, way: str, seed: int) -> UnequalResult:
-    """A day on which one proxy in ten has five times the others' traffic."""
+def measure_unequal_traffic(wanted: float, size: int, division: str, seed: int) -> UnequalResult:
+    """Run a fleet in which one proxy in ten has five times the traffic of each other proxy."""
     weights = {f"d{n}": 5.0 if n % 10 == 0 else 1.0 for n in range(size)}
-    day = Day(size, seed, way, Net(), BEGIN_MS + 30_000.0, [], weights, wanted=wanted)
-    day.run()
+    fleet = LoadedFleet(size, seed, division, Net(), LOAD_BEGIN_MS + 30_000.0, [], weights, wanted=wanted)
+    fleet.run()
     return UnequalResult(
-        day.served_fraction([name for name, weight in weights.items() if weight > 1]),
-        day.served_fraction([name for name, weight in weights.items() if weight == 1]),
-        day.served_fraction(list(weights)),
-        day.violations(),
+        fleet.served_fraction([name for name, weight in weights.items() if weight > 1]),
+        fleet.served_fraction([name for name, weight in weights.items() if weight == 1]),
+        fleet.served_fraction(list(weights)),
+        fleet.violations(),
     )
 
 
 @dataclass(frozen=True, slots=True)
 class NewcomerResult:
-    """Seconds by kind until a newcomer has its part (30: not within them), and violations."""
+    """Seconds by kind of limit until a newcomer has its share (30: not within 30 s), and the violations."""
 
     seconds: dict[str, float]
     violations: int
 
 
-def newcomer(size: int, loss: float, way: str, seed: int) -> NewcomerResult:
-    """A day on which one starts under load: the time until it has four fifths of an even part of what clients
-    want."""
-    faults: list[tuple[float, str, Any]] = [(1.0, "kill", "d1"), (DEATH_MS, "start", "d1")]
-    day = Day(size, seed, way, Net(loss, 0.0, loss, LATE_MS), DEATH_MS + NEWCOMER_MS, faults)
-    not_within = NEWCOMER_MS / 1000.0
-    seconds = dict.fromkeys(KINDS, not_within)
+def measure_newcomer(size: int, loss: float, division: str, seed: int) -> NewcomerResult:
+    """Run a fleet in which one member starts under load.
+
+    Measures the time until it has four fifths of an even share of what clients request.
+    """
+    faults: list[tuple[float, str, Any]] = [(1.0, "kill", "d1"), (DEATHS_AT_MS, "start", "d1")]
+    fleet = LoadedFleet(
+        size, seed, division, Net(loss, 0.0, loss, MAX_LATENESS_MS), DEATHS_AT_MS + NEWCOMER_WATCH_MS, faults
+    )
+    not_within = NEWCOMER_WATCH_MS / 1000.0
+    seconds = dict.fromkeys(LIMIT_KINDS, not_within)
 
-    def look() -> None:
-        member = day.members.get("d1")
+    def check_capacity() -> None:
+        member = fleet.members.get("d1")
         if member is None:
             return
-        for limit in day.base:
-            capacity = day.nodes["d1"].capacity(day._local(member), limit.name) or 0.0
-            if seconds[limit.name] == not_within and capacity >= NEWCOMER_PART * WANTED * limit.amount / size:
-                seconds[limit.name] = (day.now - DEATH_MS) / 1000.0
-
-    for step in range(1, int(NEWCOMER_MS / SAMPLE_MS)):
-        day._at(DEATH_MS + float(SAMPLE_MS) * step, look)
-    day.run()
-    return NewcomerResult(seconds, day.violations())
+        for limit in fleet.base:
+            capacity = fleet.nodes["d1"].capacity(fleet._local(member), limit.name) or 0.0
+            if (
+                seconds[limit.name] == not_within
+                and capacity >= NEWCOMER_TARGET_FRACTION * WANTED_FRACTION * limit.amount / size
+            ):
+                seconds[limit.name] = (fleet.now - DEATHS_AT_MS) / 1000.0
+
+    for step in range(1, int(NEWCOMER_WATCH_MS / SAMPLE_INTERVAL_MS)):
+        fleet._at(DEATHS_AT_MS + float(SAMPLE_INTERVAL_MS) * step, check_capacity)
+    fleet.run()
+    return NewcomerResult(seconds, fleet.violations())
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -1,11 +1,11 @@
-"""Measure leases: time to take over after a death, datagrams, what a proxy pays; and count what was searched.
+"""Measure leases: time to take over after a death, datagrams, cost to a proxy, and coverage of the model search.
 
     .venv/bin/python -m bench.leases [--runs 5000] [--states 8000000] [--out bench/results]
 
-Takeover is measured in virtual time with the settings as shipped (lease 3 s, tick 50 ms): the holder dies ten
-times a run, at random moments, and starts again with nothing a second later. Every datagram goes through the codec.
-What a proxy pays is measured on real processes of the lab: twenty idle proxies, and one under load, with all of
-it on and with all of it off. Writes ``leases.md`` and ``leases.png``.
+Takeover is measured in virtual time with the settings as shipped (lease 3 s, tick 50 ms). The holder dies ten times
+per run, at random moments, and restarts with empty memory a second later. Every datagram goes through the codec. The
+cost to a proxy is measured on the lab's real processes: twenty idle proxies, and one under load, with leases and
+census enabled and with both disabled. Writes ``leases.md`` and ``leases.png``.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 from lab.virtual_plan import Net, Plan
 from lab.world import World
 
-SIZES = (5, 20, 200)
-LOSSES = (0.0, 0.1, 0.3)
-SEEDS = {5: 20, 20: 10, 200: 3}  # by size
-KILLS = 10  # deaths of the holder a run,
-EVERY_MS = 8_000.0  # so far apart
-FAULT_SEEDS = 1000
-FAULT_STATES = 1_000_000
-PAYING_SIZES = (20, 5)
-REQUESTS = 1000
-IDLE_S = 15.0
-SETTLED_S = 8.0  # past the quiet time: what a start costs is not counted
-BOUNDS = (
+FLEET_SIZES = (5, 20, 200)
+LOSS_RATES = (0.0, 0.1, 0.3)
+SEEDS_BY_SIZE = {5: 20, 20: 10, 200: 3}
+DEATHS_PER_RUN = 10  # of the lease holder
+DEATH_INTERVAL_MS = 8_000.0  # between two deaths
+INJECTED_FAULT_SEEDS = 1000
+INJECTED_FAULT_STATES = 1_000_000
+COST_FLEET_SIZES = (20, 5)
+COST_REQUESTS = 1000
+IDLE_MEASURE_S = 15.0
+SETTLE_S = 8.0  # longer than the quiet period after a start, so that the cost of starting is not counted
+SEARCH_BOUNDS = (
     Bounds(1, (1, 1), 0, 0, 0),
     Bounds(1, (1, 1), 0, 0, 1),
     Bounds(1, (1, 1), 0, 1, 0),
@@ -53,13 +53,19 @@
     Bounds(2, (1, 1), 0, 1, 0),
 )
 
-TUNING = LeaseTuning()  # as ``beechslip.leases.settings`` makes it of the shipped file
-# Stated: the lease time with its drift, two turns of contenders, and one attempt.
-BOUND_MS = TUNING.lease_ms * (1 + TUNING.drift) + 2 * TUNING.stagger_ms + TUNING.attempt_ms
+LEASE_TUNING = LeaseTuning()  # what ``beechslip.leases.settings`` reads from the shipped file
+# The stated bound: the lease time with its drift, two stagger times of the contenders, and one attempt.
+TAKEOVER_BOUND_MS = (
+    LEASE_TUNING.lease_ms * (1 + LEASE_TUNING.drift) + 2 * LEASE_TUNING.stagger_ms + LEASE_TUNING.attempt_ms
+)
+
 
+class TakeoverRun(NamedTuple):
+    """Results of one run.
 
-class Takeover(NamedTuple):
-    """One run: from each death of the holder to the next hold (ms); datagrams and bytes a member a second."""
+    ``times_ms`` are the times from each death of the holder to the next hold. ``datagrams`` and ``bytes`` are per
+    member and second.
+    """
 
     times_ms: list[float]
     datagrams: float
@@ -67,37 +73,37 @@
     violations: int
 
 
-class Cost(NamedTuple):
-    """Of one proxy: fraction of a core when idle, CPU ms a request (beyond idle), memory in MB."""
+class ProxyCost(NamedTuple):
+    """Cost to one proxy: fraction of a core when idle, CPU time per request (ms, beyond idle), memory (MB)."""
 
     idle: float
     request_ms: float
     memory_mb: float
 
 
-class Spread(NamedTuple):
-    """Of the times to take over (ms)."""
+class TakeoverPercentiles(NamedTuple):
+    """Median, 99th percentile and maximum of the times to take over (ms)."""
 
     median: float
     p99: float
     most: float
 
 
-Chart = dict[tuple[int, float], Spread]  # by size and loss
+PercentilesByCell = dict[tuple[int, float], TakeoverPercentiles]  # by fleet size and loss
 
 
-def takeover(size: int, loss: float, seed: int) -> Takeover:
-    """Play one run in virtual time with ``KILLS`` deaths of the holder."""
+def measure_takeover(size: int, loss: float, seed: int) -> TakeoverRun:
+    """Run a fleet in virtual time with ``DEATHS_PER_RUN`` deaths of the holder."""
     rng = random.Random(f"{size} {loss} {seed}")
-    deaths_ms = [6_000.0 + k * EVERY_MS + rng.uniform(0, 3_000.0) for k in range(KILLS)]
-    until_ms = deaths_ms[-1] + EVERY_MS
+    deaths_ms = [6_000.0 + k * DEATH_INTERVAL_MS + rng.uniform(0, 3_000.0) for k in range(DEATHS_PER_RUN)]
+    until_ms = deaths_ms[-1] + DEATH_INTERVAL_MS
     plan = Plan(
         size,
         ("t0",),
         until_ms,
         Net(loss, 0.0, 0.1 if loss else 0.0, 2_000.0),
         [(death_ms, "holder", [(0.0, "kill"), (1_000.0, "start")]) for death_ms in deaths_ms],
-        tuning=TUNING,
+        tuning=LEASE_TUNING,
         tick_ms=50.0,
         wire=True,
         drill_every_ms=1e12,
@@ -106,7 +112,7 @@
     fleet.keep = True
     checker = fleet.run()
     seconds = until_ms / 1000.0
-    return Takeover(
+    return TakeoverRun(
         _times_to_next_hold(fleet.events, deaths_ms, until_ms),
         fleet.sent / size / seconds,
         fleet.bytes / size / seconds,
@@ -115,7 +121,7 @@
 
 
 def _times_to_next_hold(events: list[dict[str, Any]], deaths_ms: list[float], until_ms: float) -> list[float]:
-    """For each death with a holder before it, the ms until another holder, or the end of the run."""
+    """Return, for each death with a holder before it, the ms until the next holder or the end of the run."""
     holds = [(event["t"], event["member"], event["life"]) for event in events if event["kind"] == "hold"]
     times: list[float] = []
     for death_ms in deaths_ms:
@@ -128,32 +134,32 @@
 
 
 def _cpu_s(pid: int) -> float:
-    words = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+    fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def _memory_mb(pid: int) -> float:
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-async def cost(members: int, on: bool, requests: int, idle_s: float) -> Cost:
-    """What one proxy of a fleet of real processes pays, with leases and census ``on`` or off."""
+async def measure_cost(members: int, is_enabled: bool, requests: int, idle_s: float) -> ProxyCost:
+    """Measure the cost to one proxy in a fleet of real processes, with leases and census enabled or disabled."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "pays.toml"
-        leases = "[fleet.leases]\nenabled = true\n[fleet.census]\nenabled = true\n" if on else ""
+        leases = "[fleet.leases]\nenabled = true\n[fleet.census]\nenabled = true\n" if is_enabled else ""
         file.write_text(f"members = {members}\n{leases}")
         world = World(read_scenario(file), Path(folder) / "run")
-        if not on:
+        if not is_enabled:
             world.testbed.fleet_toml = lambda number, declared: "enabled = false\n"  # type: ignore[method-assign]
         try:
             await world.open()
-            await asyncio.sleep(SETTLED_S)
-            return await _measure(world, requests, idle_s)
+            await asyncio.sleep(SETTLE_S)
+            return await _measure_proxies(world, requests, idle_s)
         finally:
             await world.close()
 
 
-async def _measure(world: World, requests: int, idle_s: float) -> Cost:
+async def _measure_proxies(world: World, requests: int, idle_s: float) -> ProxyCost:
     pids = [proxy.process.pid for proxy in world.testbed.proxies if proxy.process]
     began, cpu_s = time.monotonic(), sum(map(_cpu_s, pids))
     await asyncio.sleep(idle_s)
@@ -164,11 +170,11 @@
     for k in range(requests):
         await fetch(port, f"/rpc/waveform/{k % 97:x}?slice=0")
     spent_s = _cpu_s(pid) - cpu_s - idle * (time.monotonic() - began)
-    return Cost(idle, spent_s / max(1, requests) * 1000.0, _memory_mb(pid))
+    return ProxyCost(idle, spent_s / max(1, requests) * 1000.0, _memory_mb(pid))
 
 
 def main() -> None:
-    """Measure everything, and write the page and its chart."""
+    """Measure all sections, and write the page and its chart."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--runs", type=int, default=5000)
     parser.add_argument("--states", type=int, default=8_000_000)
@@ -184,18 +190,18 @@
         lines += virtual_time_section(pool, args.runs, args.workers)
         lines += injected_faults_section(pool)
         lines += interleavings_section(pool, args.states)
-        takeovers, chart = takeover_section(pool)
-    lines += [*takeovers, *cost_section()]
+        takeover_lines, percentiles_by_cell = takeover_section(pool)
+    lines += [*takeover_lines, *cost_section()]
     args.out.mkdir(parents=True, exist_ok=True)
     (args.out / "leases.md").write_text("\n".join(lines) + "\n")
-    draw(chart, args.out / "leases.png")
+    draw_chart(percentiles_by_cell, args.out / "leases.png")
 
 
 def virtual_time_section(pool: ProcessPoolExecutor, runs: int, workers: int) -> list[str]:
-    """Seeded runs in virtual time, and how many found a violation."""
+    """Return the summary of the seeded runs in virtual time, and how many of them found a violation."""
     began = time.monotonic()
     outcomes = list(pool.map(play, range(runs), chunksize=16))
-    bad = [outcome for outcome in outcomes if outcome.violations]
+    violating = [outcome for outcome in outcomes if outcome.violations]
     return [
         "",
         "## Virtual time",
@@ -204,12 +210,12 @@
         f"{sum(o.steps for o in outcomes):,} steps, {sum(o.datagrams for o in outcomes):,} datagrams, "
         f"{sum(o.holds for o in outcomes):,} holds and extensions, "
         f"{sum(o.handovers for o in outcomes):,} handovers, {sum(o.acts for o in outcomes):,} acts taken; "
-        f"**{len(bad)} seeds with a violation**. {time.monotonic() - began:.0f} s on {workers} workers.",
+        f"**{len(violating)} seeds with a violation**. {time.monotonic() - began:.0f} s on {workers} workers.",
     ]
 
 
 def injected_faults_section(pool: ProcessPoolExecutor) -> list[str]:
-    """How often each injected fault is found, by seeds and by the search."""
+    """Return the table of how often each injected fault is detected, by seeds and by the model search."""
     lines = [
         "",
         "Injected faults over seeds 0 to 999, and in the search:",
@@ -218,15 +224,15 @@
         "| --- | --- | ---: | --- |",
     ]
     for name, fault in registered("leases").items():
-        outcomes = pool.map(play, range(FAULT_SEEDS), [name] * FAULT_SEEDS, chunksize=16)
+        outcomes = pool.map(play, range(INJECTED_FAULT_SEEDS), [name] * INJECTED_FAULT_SEEDS, chunksize=16)
         found = sum(bool(outcome.violations) for outcome in outcomes)
-        lines.append(f"| {name} | {fault.description} | {found} | {searched(name)} |")
+        lines.append(f"| {name} | {fault.description} | {found} | {states_until_found(name)} |")
         print(lines[-1], flush=True)
     return lines
 
 
 def interleavings_section(pool: ProcessPoolExecutor, states: int) -> list[str]:
-    """The search of every interleaving within each of ``BOUNDS``, up to ``states`` states."""
+    """Search every interleaving within each of ``SEARCH_BOUNDS``, up to ``states`` states, and return the table."""
     lines = [
         "",
         "## Every interleaving",
@@ -237,7 +243,9 @@
         "| units of time | restarts | repeats | extensions | states | steps | all visited | two holders |",
         "| ---: | ---: | ---: | ---: | ---: | ---: | --- | --- |",
     ]
-    for bounds, found in zip(BOUNDS, pool.map(_search, BOUNDS, [states] * len(BOUNDS)), strict=True):
+    for bounds, found in zip(
+        SEARCH_BOUNDS, pool.map(_search_within, SEARCH_BOUNDS, [states] * len(SEARCH_BOUNDS)), strict=True
+    ):
         lines.append(
             f"| {bounds.units} | {bounds.restarts} | {bounds.repeats} | {bounds.renews} | {found.states:,} "
             f"| {found.steps:,} | {'yes' if found.complete else 'no'} "
@@ -247,10 +255,15 @@
     return lines
 
 
-def takeover_section(pool: ProcessPoolExecutor) -> tuple[list[str], Chart]:
-    """The table of times to take over, and what the chart is drawn from."""
-    cells = [(size, loss, seed) for size in SIZES for loss in LOSSES for seed in range(1, SEEDS[size] + 1)]
-    runs = dict(zip(cells, pool.map(takeover, *zip(*cells, strict=True)), strict=True))
+def takeover_section(pool: ProcessPoolExecutor) -> tuple[list[str], PercentilesByCell]:
+    """Return the table of the times to take over, and the data of the chart."""
+    cells = [
+        (size, loss, seed)
+        for size in FLEET_SIZES
+        for loss in LOSS_RATES
+        for seed in range(1, SEEDS_BY_SIZE[size] + 1)
+    ]
+    runs = dict(zip(cells, pool.map(measure_takeover, *zip(*cells, strict=True)), strict=True))
     lines = [
         "",
         "## Time to take over after the holder's death",
@@ -262,23 +275,26 @@
         "| bytes/member/s | violations |",
         "|" + " ---: |" * 10,
     ]
-    chart: Chart = {}
-    for size in SIZES:
-        for loss in LOSSES:
-            cell = [runs[size, loss, seed] for seed in range(1, SEEDS[size] + 1)]
+    percentiles_by_cell: PercentilesByCell = {}
+    for size in FLEET_SIZES:
+        for loss in LOSS_RATES:
+            cell = [runs[size, loss, seed] for seed in range(1, SEEDS_BY_SIZE[size] + 1)]
             times = np.array([time_ms for run in cell for time_ms in run.times_ms])
-            spread = chart[size, loss] = Spread(*(float(np.percentile(times, q)) for q in (50, 99, 100)))
+            percentiles = percentiles_by_cell[size, loss] = TakeoverPercentiles(
+                *(float(np.percentile(times, q)) for q in (50, 99, 100))
+            )
             lines.append(
-                f"| {size} | {loss:.0%} | {len(times)} | {spread.median:.0f} | {spread.p99:.0f} "
-                f"| {spread.most:.0f} | {BOUND_MS:.0f} | {np.mean([run.datagrams for run in cell]):.1f} "
-                f"| {np.mean([run.bytes for run in cell]):.0f} | {sum(run.violations for run in cell)} |"
+                f"| {size} | {loss:.0%} | {len(times)} | {percentiles.median:.0f} | {percentiles.p99:.0f} "
+                f"| {percentiles.most:.0f} | {TAKEOVER_BOUND_MS:.0f} "
+                f"| {np.mean([run.datagrams for run in cell]):.1f} | {np.mean([run.bytes for run in cell]):.0f} "
+                f"| {sum(run.violations for run in cell)} |"
             )
             print(lines[-1], flush=True)
-    return [*lines, "", "![time to take over](leases.png)"], chart
+    return [*lines, "", "![time to take over](leases.png)"], percentiles_by_cell
 
 
 def cost_section() -> list[str]:
-    """The table of what a proxy pays, leases and census off and on."""
+    """Return the table of the cost to a proxy, with leases and census disabled and enabled."""
     lines = [
         "",
         "## What a proxy pays",
@@ -288,47 +304,50 @@
         "| members | peers | CPU idle (share of a core, mean) | CPU a request (ms) | memory (MB) |",
         "| ---: | --- | ---: | ---: | ---: |",
     ]
-    for members in PAYING_SIZES:
-        for on in (False, True):
-            paid = asyncio.run(cost(members, on, REQUESTS, IDLE_S))
+    for members in COST_FLEET_SIZES:
+        for is_enabled in (False, True):
+            proxy_cost = asyncio.run(measure_cost(members, is_enabled, COST_REQUESTS, IDLE_MEASURE_S))
             lines.append(
-                f"| {members} | {'on' if on else 'off'} | {paid.idle:.4f} | {paid.request_ms:.2f} "
-                f"| {paid.memory_mb:.1f} |"
+                f"| {members} | {'on' if is_enabled else 'off'} | {proxy_cost.idle:.4f} "
+                f"| {proxy_cost.request_ms:.2f} | {proxy_cost.memory_mb:.1f} |"
             )
             print(lines[-1], flush=True)
     return lines
 
 
-def _search(bounds: Bounds, most: int) -> Found:
+def _search_within(bounds: Bounds, most: int) -> Found:
     return Search(bounds).run(most)
 
 
-def searched(name: str) -> str:
-    """States until the search finds the fault; in a process of its own, so that it can't leak into the pool."""
+def states_until_found(name: str) -> str:
+    """Return the number of states until the search detects the injected fault, as text.
+
+    The search runs in a process of its own, so that the fault cannot leak into the pool's processes.
+    """
     code = (
         "from lab import lease_faults; from lab.injected_faults import inject; "
         "from lab.search import Bounds, Search\n"
-        f"with inject({name!r}): f = Search(Bounds(1, restarts=1)).run({FAULT_STATES}, deep=True)\n"
+        f"with inject({name!r}): f = Search(Bounds(1, restarts=1)).run({INJECTED_FAULT_STATES}, deep=True)\n"
         "print(f.states if f.violation else 0)"
     )
     states = int(subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout)
-    return f"{states:,}" if states else f"not within {FAULT_STATES:,}"
+    return f"{states:,}" if states else f"not within {INJECTED_FAULT_STATES:,}"
 
 
-def draw(chart: Chart, path: Path) -> None:
-    """Median and longest times to take over by size, a pair of lines for each loss, beside the stated bound."""
+def draw_chart(percentiles_by_cell: PercentilesByCell, path: Path) -> None:
+    """Draw the median and the longest times to take over by fleet size and loss, with the stated bound."""
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
     figure, axes = plt.subplots(figsize=(7, 4))
-    for loss in LOSSES:
-        medians = [chart[size, loss].median for size in SIZES]
-        axes.plot(SIZES, medians, marker="o", label=f"median, loss {loss:.0%}")
-        most = [chart[size, loss].most for size in SIZES]
-        axes.plot(SIZES, most, marker="x", linestyle=":", label=f"most, loss {loss:.0%}")
-    axes.plot(SIZES, [BOUND_MS] * len(SIZES), color="grey", linestyle="--", label="stated bound")
+    for loss in LOSS_RATES:
+        medians = [percentiles_by_cell[size, loss].median for size in FLEET_SIZES]
+        axes.plot(FLEET_SIZES, medians, marker="o", label=f"median, loss {loss:.0%}")
+        most = [percentiles_by_cell[size, loss].most for size in FLEET_SIZES]
+        axes.plot(FLEET_SIZES, most, marker="x", linestyle=":", label=f"most, loss {loss:.0%}")
+    axes.plot(FLEET_SIZES, [TAKEOVER_BOUND_MS] * len(FLEET_SIZES), color="grey", linestyle="--", label="stated bound")
     axes.set(xscale="log", xlabel="members", ylabel="from death to the next hold (ms)", ylim=(0, None))
     axes.legend(fontsize=7)
     figure.tight_layout()
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -1,5 +1,8 @@
-"""Measure fleet orders: rolling restarts of twenty real proxies under load, with failures and all at once; every
-numbered write failing; seeds in virtual time with all faults; injected faults.
+"""Measure fleet orders on real processes and in virtual time.
+
+Measured are rolling restarts of twenty real proxies under load, with failures and all proxies at once; orders with
+each numbered write failing in turn; seeds in virtual time with all faults; and how many seeds detect each injected
+fault.
 
     .venv/bin/python -m bench.orders [--seeds 2] [--soak 5000] [--out bench/results]
 
@@ -21,25 +24,25 @@
 import numpy as np
 
 from beechslip.orders.model import Kind
-from bench.text import page
+from bench.text import format_page
 from lab.agent_fleet import WriteFault
 from lab.agent_judge import Outcome
 from lab.agent_world import Case, Fault, FaultKind, run_case
 from lab.injected_faults import registered
 from lab.virtual_agents import play, sweep
 
-PROXIES = 20
-AGENTS = 5
+PROXY_COUNT = 20
+AGENT_COUNT = 5
 REQUESTS_PER_SECOND = 60.0
-KINDS: tuple[Kind, ...] = ("restart", "drain", "retune")
+ORDER_KINDS: tuple[Kind, ...] = ("restart", "drain", "retune")
 INJECTED_FAULT_SEEDS = 1500
 STEP_PREFIX = "step "
-CHUNK_SIZE = 8
+SEEDS_PER_TASK = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """A restart of all proxies, ``at_most`` at once, with faults."""
+    """A restart of all proxies, at most ``at_most`` at once, with faults."""
 
     at_most: int
     faults: tuple[Fault, ...] = ()
@@ -52,10 +55,10 @@
         4, tuple(Fault(0.5 + 0.7 * k, FaultKind.KILL, f"n{2 * k}") for k in range(10))
     ),
     "rolling, its runner killed": Rollout(4, (Fault(2.0, FaultKind.KILL, "runner", 4.0),)),
-    "all at once": Rollout(PROXIES),
+    "all at once": Rollout(PROXY_COUNT),
 }
 
-ROLLOUT_HEAD = [
+ROLLOUT_HEADING = [
     "## Restarting twenty proxies under load",
     "",
     """Twenty real proxies under five agents on one SQLite store, 60 requests a second; a client that is
@@ -65,7 +68,7 @@
     "| way | took s | served | worst second | not done, as the report has it | rules broken |",
     "| --- | ---: | ---: | ---: | --- | ---: |",
 ]
-SWEEP_HEAD = [
+SWEEP_HEADING = [
     "",
     "![worst second](orders.png)",
     "",
@@ -80,14 +83,14 @@
 ]
 
 
-def roll_out(name: str, seed: int) -> Outcome:
-    """One run of a rollout on real processes."""
+def run_rollout(name: str, seed: int) -> Outcome:
+    """Run a rollout once on real processes."""
     rollout = ROLLOUTS[name]
     case = Case(
         f"bench {seed}",
         "restart",
-        PROXIES,
-        AGENTS,
+        PROXY_COUNT,
+        AGENT_COUNT,
         rollout.at_most,
         rollout.faults,
         seed=seed,
@@ -98,44 +101,47 @@
 
 
 def sweep_writes(kind: Kind, fault: WriteFault) -> tuple[int, Counter[str]]:
-    """Every write of a start and an order failing in turn: plays, and how orders and steps ended."""
+    """Run a start and an order once for each write, with that write failing.
+
+    Returns the number of runs and how often orders and steps ended in each state.
+    """
     writes = sweep(kind).writes
-    ended: Counter[str] = Counter()
+    end_counts: Counter[str] = Counter()
     for write in range(1, writes + 1):
         result = sweep(kind, write, fault)
-        ended["violations"] += len(result.violations)
-        ended[f"order {result.order.state}"] += 1
-        ended.update(f"{STEP_PREFIX}{step.state}" for step in result.order.steps)
-    return writes, ended
+        end_counts["violations"] += len(result.violations)
+        end_counts[f"order {result.order.state}"] += 1
+        end_counts.update(f"{STEP_PREFIX}{step.state}" for step in result.order.steps)
+    return writes, end_counts
 
 
-def steps_text(ended: Mapping[str, int]) -> str:
-    """The counts of steps by state, in words."""
-    counts = {name.removeprefix(STEP_PREFIX): n for name, n in ended.items() if name.startswith(STEP_PREFIX)}
+def steps_text(end_counts: Mapping[str, int]) -> str:
+    """Return the counts of steps by state as text."""
+    counts = {name.removeprefix(STEP_PREFIX): n for name, n in end_counts.items() if name.startswith(STEP_PREFIX)}
     return ", ".join(f"{count:,} {state}" for state, count in sorted(counts.items()))
 
 
-def printed(line: str) -> str:
-    """The line, which is printed as it comes."""
+def print_and_return(line: str) -> str:
+    """Print ``line`` at once and return it."""
     print(line, flush=True)
     return line
 
 
 def rollout_rows(seeds: int, chart: Path) -> list[str]:
-    """A row for each rollout, and the chart of their worst seconds."""
+    """Return a row for each rollout, and draw the chart of their worst seconds."""
     rows = []
     worst: dict[str, float] = {}
     for name in ROLLOUTS if seeds else ():
-        runs = [roll_out(name, seed) for seed in range(1, seeds + 1)]
+        runs = [run_rollout(name, seed) for seed in range(1, seeds + 1)]
         worst[name] = float(np.mean([run.worst for run in runs]))
-        rows.append(printed(rollout_row(name, runs, worst[name])))
+        rows.append(print_and_return(rollout_row(name, runs, worst[name])))
     if worst:
-        draw(worst, chart)
+        draw_worst_seconds(worst, chart)
     return rows
 
 
 def rollout_row(name: str, runs: Sequence[Outcome], worst: float) -> str:
-    """The means over the runs of one rollout."""
+    """Return the row of one rollout: the means over its runs."""
     took_s = np.mean([run.took_s for run in runs])
     served = np.mean([run.answers.get("200", 0) / max(1, sum(run.answers.values())) for run in runs])
     not_done = Counter(step.state for run in runs for step in run.orders[0].steps if step.state != "done")
@@ -145,24 +151,25 @@
 
 
 def sweep_rows(pool: ProcessPoolExecutor) -> list[str]:
-    """A row for each kind of order and fault."""
-    cells = [(kind, fault) for kind in KINDS for fault in WriteFault]
+    """Return a row for each kind of order and fault."""
+    cells = [(kind, fault) for kind in ORDER_KINDS for fault in WriteFault]
     results = pool.map(sweep_writes, *zip(*cells, strict=True))
     return [
-        printed(
-            f"| {kind} | {fault} | {writes} | {ended['order done']} | {steps_text(ended)} | {ended['violations']} |"
+        print_and_return(
+            f"| {kind} | {fault} | {writes} | {end_counts['order done']} | {steps_text(end_counts)} "
+            f"| {end_counts['violations']} |"
         )
-        for (kind, fault), (writes, ended) in zip(cells, results, strict=True)
+        for (kind, fault), (writes, end_counts) in zip(cells, results, strict=True)
     ]
 
 
 def soak_text(pool: ProcessPoolExecutor, seeds: int) -> str:
-    """What came of seeds with all faults, in a sentence."""
-    plays = list(pool.map(play, range(seeds), chunksize=CHUNK_SIZE))
+    """Return the results of the seeds with all faults, as text."""
+    results = list(pool.map(play, range(seeds), chunksize=SEEDS_PER_TASK))
     total: Counter[str] = Counter()
-    for result in plays:
+    for result in results:
         total.update(result.states)
-    found = sum(bool(result.violations) for result in plays)
+    found = sum(bool(result.violations) for result in results)
     return (
         f"Seeds 0 to {seeds - 1}, {total['writes']:,} writes, {total['done']:,} orders done and "
         f"{total['refused']:,} refused; steps: {steps_text(total)}. **{found} seeds with a violation**."
@@ -170,17 +177,17 @@
 
 
 def injected_fault_rows(pool: ProcessPoolExecutor) -> list[str]:
-    """A row for each injected fault: how many seeds find it."""
+    """Return a row for each injected fault with the number of seeds that detect it."""
     rows = []
     seeds = range(INJECTED_FAULT_SEEDS)
     for fault in sorted(registered("orders")):
-        results = pool.map(play, seeds, [fault] * len(seeds), chunksize=CHUNK_SIZE)
-        rows.append(printed(f"| {fault} | {sum(bool(result.violations) for result in results)} |"))
+        results = pool.map(play, seeds, [fault] * len(seeds), chunksize=SEEDS_PER_TASK)
+        rows.append(print_and_return(f"| {fault} | {sum(bool(result.violations) for result in results)} |"))
     return rows
 
 
 def main() -> None:
-    """Run all parts and write their page."""
+    """Run all measurements and write the page."""
     logging.disable(logging.CRITICAL)
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=2)
@@ -189,18 +196,18 @@
     parser.add_argument("--out", type=Path, default=Path(__file__).parent / "results")
     args = parser.parse_args()
     command = f"`python -m bench.orders --seeds {args.seeds} --soak {args.soak}`"
-    lines = ["# Fleet orders", "", command, "", *ROLLOUT_HEAD, *rollout_rows(args.seeds, args.out / "orders.png")]
+    lines = ["# Fleet orders", "", command, "", *ROLLOUT_HEADING, *rollout_rows(args.seeds, args.out / "orders.png")]
     with ProcessPoolExecutor(args.workers) as pool:
-        lines += [*SWEEP_HEAD, *sweep_rows(pool)]
+        lines += [*SWEEP_HEADING, *sweep_rows(pool)]
         lines += ["", "## Virtual time, all faults", "", soak_text(pool, args.soak), ""]
         lines += [f"| injected fault | seeds that find it, of {INJECTED_FAULT_SEEDS} |", "| --- | ---: |"]
         lines += injected_fault_rows(pool)
     args.out.mkdir(parents=True, exist_ok=True)
-    (args.out / "orders.md").write_text(page(lines))
+    (args.out / "orders.md").write_text(format_page(lines))
 
 
-def draw(worst: Mapping[str, float], path: Path) -> None:
-    """Bars of the worst second of each rollout."""
+def draw_worst_seconds(worst: Mapping[str, float], path: Path) -> None:
+    """Draw the worst second of each rollout as bars."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/bench/region_measures.py
+++ b/bench/region_measures.py
@@ -1,4 +1,4 @@
-"""What :mod:`bench.regions` measures: single runs on the lab's processes and in virtual time."""
+"""Single runs for :mod:`bench.regions`, on the lab's processes and in virtual time."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from lab.virtual_regions import NO_DRILL_MS, SIZES, RegionFault, RegionFleet, RegionHealth
 from lab.world import World
 
-GAP_MS = 400.0  # a proxy has left when it has sent nothing through the hub for so long
-BUCKET_MS = 250.0  # the moments in which fills of one object at two places are counted
-FAILED_COUNTERS = ("attempt.error", "attempt.reset", "attempt.timeout")
+DEPARTURE_GAP_MS = 400.0  # a proxy that sends nothing through the hub for longer than this has left it
+FILL_INTERVAL_MS = 250.0  # fills of an object within one interval count as simultaneous
+FAILED_ATTEMPT_COUNTERS = ("attempt.error", "attempt.reset", "attempt.timeout")
 
-FAULT_AT_MS = 15_000.0  # in virtual time, of the hub that fails
-RUN_MS = 30_000.0
+FAULT_AT_MS = 15_000.0  # in virtual time
+RUN_LENGTH_MS = 30_000.0
 FAILED_HUB = "hub:h1"
 
 
 @dataclass(frozen=True, slots=True)
 class ScenarioRun:
-    """One run on processes: a scenario of the lab, the hub that fails in it, regions on or off, a seed."""
+    """Parameters of one run on processes: a lab scenario, the hub that fails in it, regions on or off, and a seed."""
 
     scenario: str
     hub: str
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ScenarioResult:
-    """Measures of one run on processes; times in ms, parts from 0 to 1.
+    """Results of one run on processes. Times are in ms, fractions from 0 to 1.
 
-    ``return_ms`` lies between the hub's recovery and the last change-over; ``None`` without a full return.
+    ``return_ms`` is the time from the hub's recovery to the last changeover, or ``None`` if not all proxies returned.
     """
 
     lost: float
@@ -61,7 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DepartureRun:
-    """One run in virtual time: members, requests per second of each, how the hub fails (dies, slow), loss, seed."""
+    """Parameters of one run in virtual time in which a hub fails.
+
+    ``requests_per_s`` is of each member. ``fault`` is "dies" or "slow". ``loss`` is the fraction of datagrams lost.
+    """
 
     members: int
     requests_per_s: float
@@ -71,8 +74,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Departure:
-    """ms from the hub's failure until half and until all members have left it; bytes per member and second."""
+class DepartureResult:
+    """Results of a run in which a hub fails.
+
+    ``half_ms`` and ``all_ms`` are the times from the failure until half of the members and until all of them have
+    left the hub. ``bytes_per_s`` is of each member.
+    """
 
     half_ms: float
     all_ms: float
@@ -80,8 +87,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CalmRun:
-    """One run in virtual time without a fault: members, part of attempts that fails, length, seed."""
+class FaultFreeRun:
+    """Parameters of one run in virtual time in which no region fails.
+
+    ``failure_rate`` is the fraction of all attempts that fails.
+    """
 
     members: int
     failure_rate: float
@@ -90,33 +100,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CalmResult:
-    """The most regions that were out at once, and the attempts made."""
+class FaultFreeResult:
+    """The largest number of regions that were out at once, and the number of attempts."""
 
     max_away: int
     attempts: int
 
 
 def departure_ms(times: Iterable[float], failed_at: float) -> float | None:
-    """From the failure to the last attempt before the first gap, of one proxy's attempts through the hub."""
+    """Return the time from the failure to the last attempt before the first gap, or ``None`` without attempts.
+
+    ``times`` are those of one proxy's attempts through the hub.
+    """
     last = None
     for time in sorted(time for time in times if time >= failed_at):
-        if last is not None and time - last > GAP_MS:
+        if last is not None and time - last > DEPARTURE_GAP_MS:
             break
         last = time
     return None if last is None else last - failed_at
 
 
 def filled_twice(fills: Iterable[tuple[float, object, str]]) -> float:
-    """Of the moments in which an object was filled, the part in which its fills met at two places."""
+    """Return the fraction of the intervals with fills of an object in which two places filled it.
+
+    Each fill is a time in ms, the object, and the place. An interval is ``FILL_INTERVAL_MS`` long.
+    """
     places: dict[tuple[object, int], set[str]] = {}
     for time, key, place in fills:
-        places.setdefault((key, int(time / BUCKET_MS)), set()).add(place)
-    return sum(len(found) > 1 for found in places.values()) / max(1, len(places))
+        places.setdefault((key, int(time / FILL_INTERVAL_MS)), set()).add(place)
+    return sum(len(filling_places) > 1 for filling_places in places.values()) / max(1, len(places))
 
 
 def measure_scenario(run: ScenarioRun) -> ScenarioResult:
-    """Play a scenario on the lab's processes."""
+    """Run a scenario on the lab's processes."""
     return asyncio.run(_measure_scenario(run))
 
 
@@ -134,23 +150,25 @@
     zone_faults = [event["t"] for event in result.events if event["kind"] == "fault" and event.get("what") == "zone"]
     failed_at = zone_faults[0]
     fills = [
-        met
+        request
         for backend in world.testbed.backends
         if isinstance(backend, BusyBackend)
-        for met in backend.met
-        if not met.probe and met.source
+        for request in backend.met
+        if not request.probe and request.source
     ]
-    departures = _departures((met for met in fills if met.source == run.hub), failed_at)
-    # From the failure to the load's end; served is what is answered with 200.
+    departures = _departures((request for request in fills if request.source == run.hub), failed_at)
+    # From the failure to the end of the load. A request is served if its status is 200.
     served_after = [outcome.answer == "200" for outcome in world.load.outcomes if outcome.at_ms >= failed_at]
     return ScenarioResult(
         lost=served_after.count(False) / max(1, len(served_after)),
         return_ms=_return_ms(result.events, zone_faults[1:]),
         departure_ms=max(departures, default=0.0),
         median_departure_ms=float(np.median(departures)) if departures else 0.0,
-        filled_twice=filled_twice((met.t, met.target, met.source) for met in fills if met.t >= failed_at),
+        filled_twice=filled_twice(
+            (request.t, request.target, request.source) for request in fills if request.t >= failed_at
+        ),
         failed_attempts=float(
-            sum(counters.get(name, 0) for counters in result.counters.values() for name in FAILED_COUNTERS)
+            sum(counters.get(name, 0) for counters in result.counters.values() for name in FAILED_ATTEMPT_COUNTERS)
         ),
         p99_ms=result.latency_ms["p99"],
         served=result.answers.get("200", 0) / max(1, sum(result.answers.values())),
@@ -159,12 +177,15 @@
 
 
 def _departures(fills: Iterable[Any], failed_at: float) -> list[float]:
-    """By proxy that had attempts through the hub after its failure, the time until it has left; a trace names it."""
+    """Return the time until each proxy has left the hub.
+
+    Only proxies with attempts through the hub after its failure count. The trace id of an attempt names its proxy.
+    """
     times: dict[str, list[float]] = {}
-    for met in fills:
-        times.setdefault(met.trace[:2], []).append(met.t)
-    found = (departure_ms(of_proxy, failed_at) for of_proxy in times.values())
-    return [elapsed for elapsed in found if elapsed is not None]
+    for request in fills:
+        times.setdefault(request.trace[:2], []).append(request.t)
+    departures = (departure_ms(proxy_times, failed_at) for proxy_times in times.values())
+    return [elapsed for elapsed in departures if elapsed is not None]
 
 
 def _return_ms(events: Iterable[Mapping[str, Any]], recoveries: list[float]) -> float | None:
@@ -176,11 +197,16 @@
     return elapsed if elapsed >= 0 else None
 
 
-def measure_departure(run: DepartureRun) -> Departure:
-    """Let a hub fail in virtual time, with the settings as shipped; the whole run's length if not all leave."""
+def measure_departure(run: DepartureRun) -> DepartureResult:
+    """Let a hub fail in virtual time, with the settings as shipped.
+
+    If not all members leave the hub, the times are those from the failure to the end of the run.
+    """
     net = Net(run.loss, 0.0, run.loss, 500.0)
     health = RegionHealth(1.0) if run.fault == "dies" else RegionHealth(slowdown=10.0)
-    fleet = _shipped_fleet(run.members, RUN_MS, net, 50.0, run.seed, [RegionFault(FAULT_AT_MS, FAILED_HUB, health)])
+    fleet = _shipped_fleet(
+        run.members, RUN_LENGTH_MS, net, 50.0, run.seed, [RegionFault(FAULT_AT_MS, FAILED_HUB, health)]
+    )
     fleet.requests_per_s = run.requests_per_s
     fleet.use_region_codec = True
     fleet.keep = True
@@ -192,23 +218,23 @@
     }
     times = sorted(first_left.values())
     if len(times) < run.members:
-        return Departure(RUN_MS - FAULT_AT_MS, RUN_MS - FAULT_AT_MS, 0.0)
-    bytes_per_s = fleet.region_bytes / run.members / (RUN_MS / 1000.0)
-    return Departure(times[run.members // 2] - FAULT_AT_MS, times[-1] - FAULT_AT_MS, bytes_per_s)
+        return DepartureResult(RUN_LENGTH_MS - FAULT_AT_MS, RUN_LENGTH_MS - FAULT_AT_MS, 0.0)
+    bytes_per_s = fleet.region_bytes / run.members / (RUN_LENGTH_MS / 1000.0)
+    return DepartureResult(times[run.members // 2] - FAULT_AT_MS, times[-1] - FAULT_AT_MS, bytes_per_s)
 
 
-def measure_calm(run: CalmRun) -> CalmResult:
-    """Count the regions that are left though none fails, with a part of all attempts failing."""
+def measure_fault_free_run(run: FaultFreeRun) -> FaultFreeResult:
+    """Count the regions that are left although none fails, while a fraction of all attempts fails."""
     faults = [RegionFault(0.0, name, RegionHealth(run.failure_rate)) for name in SIZES]
     fleet = _shipped_fleet(run.members, run.seconds * 1000.0, Net(0.05), 100.0, run.seed, faults)
     fleet.run()
-    return CalmResult(fleet.regions.max_away, fleet.attempts)
+    return FaultFreeResult(fleet.regions.max_away, fleet.attempts)
 
 
 def _shipped_fleet(
     members: int, until_ms: float, net: Net, tick_ms: float, seed: int, faults: list[RegionFault]
 ) -> RegionFleet:
-    """A fleet with the settings as shipped and no faults but ``faults`` and those of ``net``."""
+    """Return a fleet with the settings as shipped and no faults but ``faults`` and those of ``net``."""
     plan = Plan(
         members,
         (LEASE,),
--- a/bench/regions.py
+++ b/bench/regions.py
@@ -1,10 +1,11 @@
-"""Measure leaving and returning as a fleet against each proxy by itself, on the same scenarios and seeds.
+"""Measure how a fleet leaves failed regions and returns, compared with each proxy deciding by itself.
 
     .venv/bin/python -m bench.regions [--seeds 3] [--soak 5000] [--calm-s 3600] [--out bench/results]
 
-On the lab's processes (8 proxies, 3 hubs, 5 stations) with regions on, and off as the program is without them. A
-request's id names its proxy, so that the backends' records tell when each left. In virtual time: all faults, injected
-faults, time to leave with few requests a proxy, and calm with errors. Writes ``regions.md`` and ``regions.png``.
+Both use the same scenarios and seeds. Runs on the lab's processes (8 proxies, 3 hubs, 5 stations) have regions
+enabled or disabled. A request's id names its proxy, so that the backends' records show when each proxy left. Runs in
+virtual time measure all faults, injected faults, the time to leave with few requests per proxy, and false departures
+while no region fails but some attempts do. Writes ``regions.md`` and ``regions.png``.
 """
 
 from __future__ import annotations
@@ -17,39 +18,39 @@
 import numpy as np
 
 from bench.region_measures import (
-    CalmRun,
     DepartureRun,
+    FaultFreeRun,
     ScenarioResult,
     ScenarioRun,
-    measure_calm,
     measure_departure,
+    measure_fault_free_run,
     measure_scenario,
 )
-from bench.text import page
+from bench.text import format_page
 from lab.injected_faults import registered
 from lab.region_trials import run_trial
 
-# By scenario, the hub that fails in it.
-SCENARIOS = {
+# The hub that fails in each scenario.
+HUBS_BY_SCENARIO = {
     "region-hub-dies": "hub2",
     "region-hub-slow": "hub",
     "region-flaps": "hub3",
     "region-two-hubs": "hub",
 }
-SCENARIO_WORKERS = 2  # each plays a scenario with processes of its own
-FLEETS = ((10, 12.0), (40, 3.0), (200, 0.6))  # members, requests per second of each
-FAULTS = ("dies", "slow")
-LOSSES = (0.0, 0.1)
-CALM_FAILURE_RATES = (0.01, 0.03)
-CALM_SEEDS = (1, 2)
-CALM_MEMBERS = 10
-FAULT_SEEDS = 1000
-PRICE = 0.0088
-PRICED_BYTES = 256.0
+SCENARIO_WORKERS = 2  # each runs a scenario with processes of its own
+FLEET_LOADS = ((10, 12.0), (40, 3.0), (200, 0.6))  # members, requests per second and member
+HUB_FAULTS = ("dies", "slow")
+LOSS_RATES = (0.0, 0.1)
+FAULT_FREE_FAILURE_RATES = (0.01, 0.03)
+FAULT_FREE_SEEDS = (1, 2)
+FAULT_FREE_MEMBERS = 10
+INJECTED_FAULT_SEEDS = 1000
+MESSAGE_PRICE = 0.0088  # price of peer messages in the settings
+FULL_PRICE_BYTES = 256.0  # bytes per request from which the full price is paid
 
 
 def scenario_section(seeds: int) -> list[str]:
-    """Scenarios on processes, with regions off and on."""
+    """Return the table of scenarios on processes, with regions off and on."""
     lines = [
         "## On processes",
         "",
@@ -63,28 +64,30 @@
         "| served | lost after | back, s | violations |",
         "| --- | --- |" + " ---: |" * 9,
     ]
-    cells = list(itertools.product(SCENARIOS, (False, True)))
+    cells = list(itertools.product(HUBS_BY_SCENARIO, (False, True)))
     runs = {
-        (name, on): [ScenarioRun(name, SCENARIOS[name], on, seed) for seed in range(1, seeds + 1)]
-        for name, on in cells
+        (name, regions_on): [
+            ScenarioRun(name, HUBS_BY_SCENARIO[name], regions_on, seed) for seed in range(1, seeds + 1)
+        ]
+        for name, regions_on in cells
     }
     with ProcessPoolExecutor(SCENARIO_WORKERS) as pool:
-        every = list(itertools.chain.from_iterable(runs.values()))
-        results = dict(zip(every, pool.map(measure_scenario, every), strict=True))
-    for name, on in cells if seeds else ():
-        lines.append(_scenario_row(name, on, [results[run] for run in runs[name, on]]))
+        all_runs = list(itertools.chain.from_iterable(runs.values()))
+        results = dict(zip(all_runs, pool.map(measure_scenario, all_runs), strict=True))
+    for name, regions_on in cells if seeds else ():
+        lines.append(_scenario_row(name, regions_on, [results[run] for run in runs[name, regions_on]]))
         print(lines[-1], flush=True)
     return lines
 
 
-def _scenario_row(name: str, on: bool, results: list[ScenarioResult]) -> str:
+def _scenario_row(name: str, regions_on: bool, results: list[ScenarioResult]) -> str:
     def mean(field: str) -> float:
         return float(np.mean([getattr(result, field) for result in results]))
 
-    returns = [result.return_ms / 1000.0 for result in results if on and result.return_ms is not None]
+    returns = [result.return_ms / 1000.0 for result in results if regions_on and result.return_ms is not None]
     cells = (
         name,
-        "on" if on else "off",
+        "on" if regions_on else "off",
         f"{mean('departure_ms'):.0f} ({max(result.departure_ms for result in results):.0f})",
         f"{mean('median_departure_ms'):.0f}",
         f"{mean('filled_twice'):.3f}",
@@ -98,8 +101,8 @@
     return f"| {' | '.join(cells)} |"
 
 
-def departure_section(pool: Executor, seeds: int, plot: Path) -> list[str]:
-    """Time to leave a failed hub by size of the fleet; draws the means without loss to ``plot``."""
+def departure_section(pool: Executor, seeds: int, chart_path: Path) -> list[str]:
+    """Return the table of times to leave a failed hub by fleet size, and draw the means without loss."""
     lines = [
         "",
         "## Time to leave, by size of the fleet",
@@ -112,16 +115,18 @@
     ]
     runs = [
         DepartureRun(members, rate, fault, loss, seed)
-        for (members, rate), fault, loss, seed in itertools.product(FLEETS, FAULTS, LOSSES, range(1, seeds + 1))
+        for (members, rate), fault, loss, seed in itertools.product(
+            FLEET_LOADS, HUB_FAULTS, LOSS_RATES, range(1, seeds + 1)
+        )
     ]
     results = dict(zip(runs, pool.map(measure_departure, runs), strict=True))
     means: dict[tuple[int, str], float] = {}
-    for (members, rate), fault, loss in itertools.product(FLEETS, FAULTS, LOSSES):
+    for (members, rate), fault, loss in itertools.product(FLEET_LOADS, HUB_FAULTS, LOSS_RATES):
         found = [results[DepartureRun(members, rate, fault, loss, seed)] for seed in range(1, seeds + 1)]
-        half_ms = np.mean([one.half_ms for one in found])
-        all_ms = float(np.mean([one.all_ms for one in found]))
-        most_ms = max(one.all_ms for one in found)
-        bytes_per_s = np.mean([one.bytes_per_s for one in found])
+        half_ms = np.mean([result.half_ms for result in found])
+        all_ms = float(np.mean([result.all_ms for result in found]))
+        most_ms = max(result.all_ms for result in found)
+        bytes_per_s = np.mean([result.bytes_per_s for result in found])
         if loss == 0.0:
             means[members, fault] = all_ms
         lines.append(
@@ -129,19 +134,19 @@
             f"| {bytes_per_s:.0f} |"
         )
         print(lines[-1], flush=True)
-    draw(means, plot)
+    draw_chart(means, chart_path)
     return [
         *lines,
         "",
-        f"![time to leave]({plot.name})",
+        f"![time to leave]({chart_path.name})",
         "",
-        f"""Price at {PRICE} for {PRICED_BYTES:.0f} bytes a request: at 40 members and 3 requests a proxy a second,
-bytes a member a second / 3 / {PRICED_BYTES:.0f} of it.""",
+        f"""Price at {MESSAGE_PRICE} for {FULL_PRICE_BYTES:.0f} bytes a request: at 40 members and 3 requests a proxy
+a second, bytes a member a second / 3 / {FULL_PRICE_BYTES:.0f} of it.""",
     ]
 
 
-def calm_section(pool: Executor, seconds: float) -> list[str]:
-    """Regions left though none fails."""
+def false_departures_section(pool: Executor, seconds: float) -> list[str]:
+    """Return the table of regions that are left although none fails."""
     lines = [
         "",
         "## False leavings in calm",
@@ -152,16 +157,17 @@
         "| ---: | ---: | ---: | ---: |",
     ]
     runs = [
-        CalmRun(CALM_MEMBERS, rate, seconds, seed) for rate, seed in itertools.product(CALM_FAILURE_RATES, CALM_SEEDS)
+        FaultFreeRun(FAULT_FREE_MEMBERS, rate, seconds, seed)
+        for rate, seed in itertools.product(FAULT_FREE_FAILURE_RATES, FAULT_FREE_SEEDS)
     ]
-    for run, result in zip(runs, pool.map(measure_calm, runs), strict=True):
+    for run, result in zip(runs, pool.map(measure_fault_free_run, runs), strict=True):
         lines.append(f"| {run.failure_rate:.0%} | {run.seed} | {result.attempts:,} | {result.max_away} |")
         print(lines[-1], flush=True)
     return lines
 
 
-def fault_section(pool: Executor, soak: int) -> list[str]:
-    """Violations over ``soak`` seeds, and how many seeds find each injected fault."""
+def soak_section(pool: Executor, soak: int) -> list[str]:
+    """Return the violations over ``soak`` seeds, and how many seeds detect each injected fault."""
     outcomes = list(pool.map(run_trial, range(soak), chunksize=8))
     steps = sum(outcome.steps for outcome in outcomes)
     orders = sum(outcome.orders for outcome in outcomes)
@@ -175,25 +181,25 @@
         f"""Seeds 0 to {soak - 1}, {steps:,} steps, {orders:,} orders, {changeovers:,} change-overs:
 **{violated} seeds with a violation**; in {left} a region was left.""",
         "",
-        f"| injected fault | seeds that find it, of {FAULT_SEEDS} |",
+        f"| injected fault | seeds that find it, of {INJECTED_FAULT_SEEDS} |",
         "| --- | ---: |",
     ]
     for fault in sorted(registered("regions")):
-        trials = pool.map(run_trial, range(FAULT_SEEDS), [fault] * FAULT_SEEDS, chunksize=8)
+        trials = pool.map(run_trial, range(INJECTED_FAULT_SEEDS), [fault] * INJECTED_FAULT_SEEDS, chunksize=8)
         lines.append(f"| {fault} | {sum(bool(outcome.violations) for outcome in trials)} |")
         print(lines[-1], flush=True)
     return lines
 
 
-def draw(means: dict[tuple[int, str], float], path: Path) -> None:
-    """Plot the mean time until all members have left, by members and kind of fault."""
+def draw_chart(means: dict[tuple[int, str], float], path: Path) -> None:
+    """Draw the mean time until all members have left, by number of members and kind of fault."""
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
     figure, axes = plt.subplots(figsize=(6, 3.4))
-    for fault in FAULTS:
+    for fault in HUB_FAULTS:
         sizes = sorted({members for members, _ in means})
         axes.plot(sizes, [means[members, fault] for members in sizes], marker="o", label=f"hub {fault}")
     axes.set(
@@ -208,13 +214,13 @@
     figure.savefig(path, dpi=90)
 
 
-def read_arguments() -> argparse.Namespace:
-    """The command line."""
+def parse_arguments() -> argparse.Namespace:
+    """Return the arguments of the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--soak", type=int, default=5000)
     parser.add_argument("--calm-s", type=float, default=3600.0)
-    parser.add_argument("--lab-seeds", type=int, default=2, help="for the processes")
+    parser.add_argument("--lab-seeds", type=int, default=2, help="seeds of the scenarios on processes")
     parser.add_argument("--workers", type=int, default=7)
     parser.add_argument("--out", type=Path, default=Path(__file__).parent / "results")
     return parser.parse_args()
@@ -222,16 +228,16 @@
 
 def main() -> None:
     """Run all sections and write the page."""
-    given = read_arguments()
-    command = f"`python -m bench.regions --seeds {given.seeds} --soak {given.soak} --calm-s {given.calm_s:g}`"
+    args = parse_arguments()
+    command = f"`python -m bench.regions --seeds {args.seeds} --soak {args.soak} --calm-s {args.calm_s:g}`"
     lines = ["# Leaving a zone or region as a fleet, against each proxy by itself", "", command, ""]
-    lines += scenario_section(given.lab_seeds)
-    with ProcessPoolExecutor(given.workers) as pool:
-        lines += departure_section(pool, given.seeds, given.out / "regions.png")
-        lines += calm_section(pool, given.calm_s)
-        lines += fault_section(pool, given.soak)
-    given.out.mkdir(parents=True, exist_ok=True)
-    (given.out / "regions.md").write_text(page(lines))
+    lines += scenario_section(args.lab_seeds)
+    with ProcessPoolExecutor(args.workers) as pool:
+        lines += departure_section(pool, args.seeds, args.out / "regions.png")
+        lines += false_departures_section(pool, args.calm_s)
+        lines += soak_section(pool, args.soak)
+    args.out.mkdir(parents=True, exist_ok=True)
+    (args.out / "regions.md").write_text(format_page(lines))
 
 
 if __name__ == "__main__":
--- a/bench/replay_fleet.py
+++ b/bench/replay_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet that drives one version of the routing adapter, for ``bench.replay``; and the settings played."""
+"""The simulated fleet that drives one version of the routing adapter for ``bench.replay``, and the cases replayed."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 TICK_S = 0.005
 ZONE = "e1"
-OBJECTS = 400
-GROUPS = 8
+OBJECT_COUNT = 400
+GROUP_COUNT = 8
 
 Message = dict[str, Any]
 
 
 @dataclass(frozen=True)
-class Setting:
-    """One set of settings as the adapter is given it, with the traffic that is played under it."""
+class ReplayCase:
+    """Settings as the adapter receives them, and the fleet and traffic that are simulated with them."""
 
     name: str
     config: Message
@@ -38,7 +38,7 @@
 
 
 def _config(**changes: Any) -> Message:
-    plain: Message = {
+    base_config: Message = {
         "balancers": 2,
         "me": 0,
         "myZone": ZONE,
@@ -67,13 +67,13 @@
             "instancesByZone": [0, 2],
         },
     }
-    specifics = plain["specifics"] | changes.pop("specifics", {})
-    return plain | changes | {"specifics": specifics}
+    specifics = base_config["specifics"] | changes.pop("specifics", {})
+    return base_config | changes | {"specifics": specifics}
 
 
-SETTINGS = (
-    Setting("notes, health checks, parents", _config(), 120.0, 5, 2),
-    Setting(
+REPLAY_CASES = (
+    ReplayCase("notes, health checks, parents", _config(), 120.0, 5, 2),
+    ReplayCase(
         "no notes, no health checks, origin alone",
         _config(
             weights="off",
@@ -85,7 +85,7 @@
         3,
         0,
     ),
-    Setting(
+    ReplayCase(
         "hits told, lists on request, many proxies",
         _config(
             balancers=60,
@@ -103,92 +103,98 @@
 
 
 @dataclass(order=True)
-class _Due:
-    """A message that is due at a time; ``place`` keeps the order of equal times."""
+class _DueMessage:
+    """A message that is due at a time; ``place`` keeps the order of messages with equal times."""
 
     at: float
     place: int
     message: Message = field(compare=False)
 
 
-class Fleet:
-    """A simulated fleet that answers one adapter's actions, by its seed alone."""
+class SimulatedFleet:
+    """A simulated fleet that responds to the actions of one adapter; the seed alone determines the responses."""
 
-    def __init__(self, setting: Setting, seed: int) -> None:
-        """A fleet of the setting's size; ``seed`` decides all that happens in it."""
-        self.setting, self.random = setting, random.Random(seed)
+    def __init__(self, case: ReplayCase, seed: int) -> None:
+        """Create the backends of ``case``; all random draws come from ``seed``."""
+        self.case, self.random = case, random.Random(seed)
         self.now = 10.0
         self.members: dict[str, Message] = {}
-        self.faults: dict[str, tuple[str, float]] = {}  # by backend: the fault, and until when it lasts
-        self.due: list[_Due] = []
-        self.open: dict[tuple[int, str], set[int]] = {}  # by proxy and request: the attempts in flight
-        self.attempts: dict[tuple[int, str], int] = {}  # by proxy and request: how many were made
-        self.placed = self.requests = self.banks = 0
-        for number in range(setting.caches):
-            self._add(f"c{number}:1", "box", ZONE, 8 + number % 3)
-        for number in range(setting.parents):
-            self._add(f"p{number}:1", "parent", "hub", 40)
-        self._add("o:1", "origin", "hub", 20)
-
-    def _add(self, name: str, kind: str, zone: str, weight: float) -> None:
+        self.faults: dict[str, tuple[str, float]] = {}  # by backend: the fault, and the time at which it ends
+        self.due_messages: list[_DueMessage] = []
+        self.open_attempts: dict[tuple[int, str], set[int]] = {}  # by proxy and request: the attempts in flight
+        self.attempts: dict[tuple[int, str], int] = {}  # by proxy and request: the number of attempts made
+        self.scheduled_count = self.requests = self.list_count = 0
+        for number in range(case.caches):
+            self._add_backend(f"c{number}:1", "box", ZONE, 8 + number % 3)
+        for number in range(case.parents):
+            self._add_backend(f"p{number}:1", "parent", "hub", 40)
+        self._add_backend("o:1", "origin", "hub", 20)
+
+    def _add_backend(self, name: str, kind: str, zone: str, weight: float) -> None:
         self.members[name] = {"store": name, "sku": kind, "locality": zone, "condition": "on", "share": weight}
 
-    def _later(self, delay: float, message: Message) -> None:
-        self.placed += 1
-        heapq.heappush(self.due, _Due(self.now + delay, self.placed, message))
+    def _schedule(self, delay: float, message: Message) -> None:
+        self.scheduled_count += 1
+        heapq.heappush(self.due_messages, _DueMessage(self.now + delay, self.scheduled_count, message))
 
-    def start(self) -> list[Message]:
-        """The messages that start the proxies."""
+    def start_messages(self) -> list[Message]:
+        """Return the messages that start the proxies."""
         messages: list[Message] = [{"event_type": "SYNC", "ts": self.now}]
-        for proxy in range(self.setting.proxies):
+        for proxy in range(self.case.proxies):
             messages.append(
-                {"event_type": "LAUNCH", "proxy": proxy, "seed": proxy, "config": self.setting.config | {"me": proxy}}
+                {"event_type": "LAUNCH", "proxy": proxy, "seed": proxy, "config": self.case.config | {"me": proxy}}
             )
-        return messages + self._list("all")
+        return messages + self._endpoint_list("all")
 
-    def _list(self, kind: str, names: Sequence[str] = ()) -> list[Message]:
-        self.banks += 1
+    def _endpoint_list(self, kind: str, names: Sequence[str] = ()) -> list[Message]:
+        self.list_count += 1
         chosen = [self.members[name] for name in names or self.members]
         messages: list[Message] = [
-            {"event_type": "LIST", "bank": self.banks, "membersList": [dict(m) for m in chosen]}
+            {"event_type": "LIST", "bank": self.list_count, "membersList": [dict(m) for m in chosen]}
         ]
         return messages + [
-            {"event_type": "PEERS_KNOWN", "proxy": proxy, "kind": kind, "seqNo": self.banks, "bank": self.banks}
-            for proxy in range(self.setting.proxies)
+            {
+                "event_type": "PEERS_KNOWN",
+                "proxy": proxy,
+                "kind": kind,
+                "seqNo": self.list_count,
+                "bank": self.list_count,
+            }
+            for proxy in range(self.case.proxies)
         ]
 
-    def step(self) -> list[Message]:
-        """One tick: what has come due, a change in the fleet now and then, new requests."""
+    def next_tick(self) -> list[Message]:
+        """Advance by one tick and return its messages: those that are due, occasional fleet changes, new requests."""
         self.now = round(self.now + TICK_S, 6)
         messages: list[Message] = [{"event_type": "SYNC", "ts": self.now}]
-        while self.due and self.due[0].at <= self.now:
-            message = heapq.heappop(self.due).message
-            if self._still_open(message):
+        while self.due_messages and self.due_messages[0].at <= self.now:
+            message = heapq.heappop(self.due_messages).message
+            if self._is_deliverable(message):
                 messages.append(message)
         if self.random.random() < TICK_S * 1.5:
-            messages += self._change()
-        for proxy in range(self.setting.proxies):
-            if self.random.random() < TICK_S * self.setting.requests_per_s / self.setting.proxies:
-                messages.append(self._request(proxy))
+            messages += self._fleet_change()
+        for proxy in range(self.case.proxies):
+            if self.random.random() < TICK_S * self.case.requests_per_s / self.case.proxies:
+                messages.append(self._client_request(proxy))
         return messages
 
-    def _still_open(self, message: Message) -> bool:
-        """Take an attempt's end off the books; whether it has not ended before."""
+    def _is_deliverable(self, message: Message) -> bool:
+        """Return False for the end of an attempt that has ended before; remove an attempt that ends now."""
         if message["event_type"] != "CLOSED_ATTEMPT":
             return True
-        attempts = self.open.get((message["proxy"], message["txn"]), set())
+        attempts = self.open_attempts.get((message["proxy"], message["txn"]), set())
         if message["n"] not in attempts:
             return False
         attempts.discard(message["n"])
         return True
 
-    def _request(self, proxy: int) -> Message:
+    def _client_request(self, proxy: int) -> Message:
         self.requests += 1
         name = f"r{self.requests}"
-        number = min(int(self.random.paretovariate(0.9)), OBJECTS)
+        number = min(int(self.random.paretovariate(0.9)), OBJECT_COUNT)
         place = self.random.choices((0, 1, 2), (8, 1, 1))[0]
         if self.random.random() < 0.03:
-            self._later(self.random.uniform(0.01, 0.6), {"event_type": "GONE", "proxy": proxy, "txn": name})
+            self._schedule(self.random.uniform(0.01, 0.6), {"event_type": "GONE", "proxy": proxy, "txn": name})
         return {
             "event_type": "CALL",
             "proxy": proxy,
@@ -196,13 +202,13 @@
             "qos": f"class{place}",
             "file": f"/{number}",
             "chunk": self.random.randrange(3),
-            "setNo": number % GROUPS,
+            "setNo": number % GROUP_COUNT,
             "lengthKb": round(self.random.lognormvariate(4.0, 1.0), 2) if self.random.random() < 0.8 else 0,
             "timeLeft": round(self.random.uniform(0.003, 2.0), 4),
         }
 
-    def _change(self) -> list[Message]:
-        """A fault, a restart, a drain, a purge, or a list that is refused."""
+    def _fleet_change(self) -> list[Message]:
+        """Draw a change: a fault, a restart, a drain, a purge, a whole list, or a list that is refused."""
         name = self.random.choice(list(self.members))
         match self.random.choice(("fault", "fault", "fault", "restart", "drain", "purge", "purge", "refused", "all")):
             case "fault":
@@ -211,37 +217,42 @@
                 return []
             case "restart":
                 self.members[name]["onlineSince"] = self.now
-                return self._list("changes", [name])
+                return self._endpoint_list("changes", [name])
             case "drain":
                 fading = self.members[name]["condition"] == "on" and not name.startswith("o")
                 self.members[name]["condition"] = "fading" if fading else "on"
-                return self._list("changes", [name])
+                return self._endpoint_list("changes", [name])
             case "refused":
                 return [{"event_type": "PEERS_KNOWN", "proxy": 0, "kind": "refused", "seqNo": 0}]
             case "all":
-                return self._list("all")
+                return self._endpoint_list("all")
         purge: Message = {"event_type": "EXPIRED_NOW", "copyAge": round(self.random.uniform(0.0, 0.4), 4)}
-        number = self.random.randrange(1, OBJECTS)
-        purge |= {"file": f"/{number}"} if self.random.random() < 0.8 else {"setNo": number % GROUPS}
-        return [purge | {"proxy": proxy} for proxy in range(self.setting.proxies)]
+        number = self.random.randrange(1, OBJECT_COUNT)
+        purge |= {"file": f"/{number}"} if self.random.random() < 0.8 else {"setNo": number % GROUP_COUNT}
+        return [purge | {"proxy": proxy} for proxy in range(self.case.proxies)]
+
+    def apply_action(self, line: str) -> None:
+        """Carry out one action of the adapter.
 
-    def take(self, line: str) -> None:
-        """Carry out one action of the adapter."""
+        Raises RuntimeError if the action reports a failure of the routing package.
+        """
         action: Message = json.loads(line)
         match action["event_type"]:
             case "GET":
-                self._attempt(action)
+                self._start_attempt(action)
             case "DEFER":
-                self._later(
+                self._schedule(
                     action["fromNow"],
                     {"event_type": "REMINDER", "proxy": action["proxy"], "keyBack": action["keyBack"]},
                 )
             case "RECALL":
-                self._later(0.001, self._end(action["proxy"], action["txn"], action["n"], "", "undone", 0.0))
+                self._schedule(
+                    0.001, self._closed_attempt(action["proxy"], action["txn"], action["n"], "", "undone", 0.0)
+                )
             case "SOUND_OUT":
-                fault = self._fault(action["store"])
+                fault = self._current_fault(action["store"])
                 result = {"silent": "too_slow", "no_route": "no_route", "cut": "cut"}.get(fault, "pass")
-                self._later(
+                self._schedule(
                     0.02,
                     {
                         "event_type": "PROBE_DONE",
@@ -252,13 +263,15 @@
                     },
                 )
             case "FATAL":
-                raise RuntimeError(f"the routing package failed: {action['bodyText']}")
+                raise RuntimeError(f"routing package failed: {action['bodyText']}")
 
-    def _fault(self, name: str) -> str:
+    def _current_fault(self, name: str) -> str:
         kind, until = self.faults.get(name, ("", 0.0))
         return kind if self.now < until else ""
 
-    def _end(self, proxy: int, request: str, number: int, store: str, result: str, elapsed: float) -> Message:
+    def _closed_attempt(
+        self, proxy: int, request: str, number: int, store: str, result: str, elapsed: float
+    ) -> Message:
         return {
             "event_type": "CLOSED_ATTEMPT",
             "proxy": proxy,
@@ -269,16 +282,16 @@
             "latency": round(elapsed, 4),
         }
 
-    def _attempt(self, action: Message) -> None:
+    def _start_attempt(self, action: Message) -> None:
         proxy, request, store, source = action["proxy"], action["txn"], action["store"], action["supplier"]
-        attempts = self.open.setdefault((proxy, request), set())
+        attempts = self.open_attempts.setdefault((proxy, request), set())
         number = self.attempts.get((proxy, request), 0)
         self.attempts[proxy, request] = number + 1
         attempts.add(number)
         hit = self.random.random() < 0.5
         took = self.random.lognormvariate(-4.0, 0.8) if hit else self.random.lognormvariate(-2.5, 0.8)
         note, result = (1 if hit else self.random.choice((2, 3, 4))), "pass"
-        fault, source_fault = self._fault(store), self._fault(source) if source != store else ""
+        fault, source_fault = self._current_fault(store), self._current_fault(source) if source != store else ""
         if fault in ("no_route", "cut", "fault", "no_room"):
             result, note, took = fault, 0, 0.004
         elif fault == "silent" or (source_fault in ("silent", "slow") and not hit):
@@ -294,7 +307,7 @@
             result, note, took = "too_slow", 0, wait
         if result == "pass" and took > 0.05 and self.random.random() < 0.3:
             first = {"event_type": "HEAD_RECEIVED", "proxy": proxy, "txn": request, "n": number, "store": store}
-            self._later(took / 2.0, first)
-        end = self._end(proxy, request, number, store, result, took)
+            self._schedule(took / 2.0, first)
+        end = self._closed_attempt(proxy, request, number, store, result, took)
         load = {"active": self.random.randrange(12), "cpu": round(self.random.uniform(0.1, 1.0), 2), "x1": 0.5}
-        self._later(took, end | {"detail": note, "pressure": load, "doneFlag": result == "pass"})
+        self._schedule(took, end | {"detail": note, "pressure": load, "doneFlag": result == "pass"})
--- a/bench/text.py
+++ b/bench/text.py
@@ -1,35 +1,35 @@
-"""Pages of results: prose wrapped, tables and headings as they are."""
+"""Formatting of the result pages: prose is wrapped, tables and headings are left unchanged."""
 
 from __future__ import annotations
 
 import textwrap
 from collections.abc import Iterable
 
-COLUMNS = 118
+MAX_COLUMNS = 118
 
 
-def page(lines: Iterable[str]) -> str:
-    """The lines as one Markdown page; runs of prose become paragraphs of at most ``COLUMNS`` columns."""
-    out: list[str] = []
-    prose: list[str] = []
+def format_page(lines: Iterable[str]) -> str:
+    """Return the lines as one Markdown page; wrap each run of prose lines to at most ``MAX_COLUMNS`` columns."""
+    page_lines: list[str] = []
+    paragraph: list[str] = []
 
-    def end() -> None:
-        if prose:
-            out.extend(
+    def end_paragraph() -> None:
+        if paragraph:
+            page_lines.extend(
                 textwrap.wrap(
-                    " ".join(" ".join(prose).split()), COLUMNS, break_long_words=False, break_on_hyphens=False
+                    " ".join(" ".join(paragraph).split()), MAX_COLUMNS, break_long_words=False, break_on_hyphens=False
                 )
             )
-            prose.clear()
+            paragraph.clear()
 
     for line in "\n".join(lines).split("\n"):
         if not line or line[0] in "|#!" or line.startswith("- "):
-            end()
+            end_paragraph()
             if line.startswith("- "):
-                prose.append(line)
+                paragraph.append(line)
             else:
-                out.append(line)
+                page_lines.append(line)
         else:
-            prose.append(line)
-    end()
-    return "\n".join(out).rstrip("\n") + "\n"
+            paragraph.append(line)
+    end_paragraph()
+    return "\n".join(page_lines).rstrip("\n") + "\n"
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,13 +1,16 @@
-"""The ways to divide a fleet-wide limit, weighed by figures on the same seeds: today's static division, budgets as
-built, escrow moved pairwise, and single units as leases.
+"""Compare ways to divide a fleet-wide limit, on the same seeds.
+
+Compared are today's static division, budgets as implemented, escrow transfers between pairs of proxies, and a lease
+for each single unit.
 
     .venv/bin/python -m bench.ways [--seeds 8] [--out bench/results]
 
-*Escrow* (the demarcation protocol of Barbara and Garcia-Molina; bounded counters): each proxy begins with its even
-part; who is short asks three others, and each gives half of what it has free. What is given leaves the giver before
-it is sent and is sent again until it is acknowledged, so that it is never there twice. Nobody can know what a dead
-proxy had or whether a transfer reached it: both are lost for good, and one that starts again begins with nothing.
-*Units as leases*: one PaxosLease a unit, ten members, counted in datagrams. Writes ``ways.md``.
+*Escrow* is the demarcation protocol of Barbara and Garcia-Molina (bounded counters). Each proxy begins with its even
+share. A proxy that is short asks three others, and each of them gives half of what it has free. The giver deducts the
+amount before it sends the transfer, and resends the transfer until it is acknowledged, so that no amount exists
+twice. The cost is that nobody can know what a dead proxy had or whether a transfer reached it. Both amounts are lost
+for good, and a proxy that restarts begins with nothing. *Units as leases* is one PaxosLease for each unit, with ten
+members. Its cost is counted in datagrams. Writes ``ways.md``.
 """
 
 from __future__ import annotations
@@ -26,36 +29,48 @@
 from beechslip.budgets.limit import Cost, FleetLimit
 from beechslip.budgets.quota import Quota
 from beechslip.leases.paxos import LeaseTuning
-from bench.budget_measures import DEATH_MS, END_MS, LATE_MS, NO_DRILL_MS, TICK_MS, Day, death_faults
-from bench.text import page
+from bench.budget_measures import (
+    DEATHS_AT_MS,
+    MAX_LATENESS_MS,
+    NO_DRILL_MS,
+    RUN_END_MS,
+    TICK_MS,
+    LoadedFleet,
+    death_faults,
+)
+from bench.text import format_page
 from lab.virtual import VirtualFleet
 from lab.virtual_plan import Net, Plan
 
-SIZE = 10
+FLEET_SIZE = 10
 REQUEST_INTERVAL_MS = 500.0
-RESEND_MS = 200.0  # until a transfer is acknowledged
-ASKED_MEMBERS = 3  # by one that is short
-WAYS = ("static", "lent", "pool", "escrow")
-LOSSES = (0.0, 0.1)
-AFTER_MS = 10_000.0  # from the deaths
-LAST_MS = 10_000.0  # of the day, when all have been back for 15 s
+RESEND_INTERVAL_MS = 200.0  # of a transfer that is not acknowledged
+ASKED_MEMBER_COUNT = 3  # members that a proxy asks when it is short
+DIVISIONS = ("static", "lent", "pool", "escrow")
+LOSS_RATES = (0.0, 0.1)
+SAMPLE_AFTER_DEATHS_MS = 10_000.0  # from the deaths
+END_SAMPLE_MS = 10_000.0  # the end of the run; all members have been back for 15 s by then
 LEASE_COUNTS = (1, 10, 40)
 LEASE_RUN_MS = 30_000.0
 
 
-class DayKind(NamedTuple):
-    """What happens on a day: the fraction that dies, and whether one proxy has five times the others' traffic."""
+class LoadScenario(NamedTuple):
+    """What happens in a run: the fraction of members that die, and whether one has five times the others' traffic."""
 
     dying: float
     is_unequal: bool
 
 
-DAYS = {"unequal": DayKind(0.0, True), "three die": DayKind(0.3, False), "seven die": DayKind(0.7, False)}
+LOAD_SCENARIOS = {
+    "unequal": LoadScenario(0.0, True),
+    "three die": LoadScenario(0.3, False),
+    "seven die": LoadScenario(0.7, False),
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Transfer:
-    """``amount`` of a limit moves to the receiver; ``number`` is the giver's."""
+    """Moves ``amount`` of a limit to the receiver; the giver chooses ``number``."""
 
     limit: str
     amount: float
@@ -64,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferAck:
-    """Transfer ``number`` of the receiver of this has arrived."""
+    """Acknowledges transfer ``number``, which the receiver of this message gave."""
 
     limit: str
     number: int
@@ -72,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferRequest:
-    """The sender is short of a limit."""
+    """Says that the sender is short of a limit and asks for a transfer."""
 
     limit: str
 
@@ -83,7 +98,7 @@
 
 @dataclass(slots=True)
 class _PendingTransfer:
-    """A transfer that is not acknowledged yet, and when it was sent last."""
+    """A transfer that is not yet acknowledged, and the time at which it was last sent."""
 
     to: str
     transfer: Transfer
@@ -91,12 +106,15 @@
 
 
 class Escrow:
-    """What one proxy has of the limits; the interface that :class:`bench.budget_measures.Day` drives."""
+    """The amounts of the limits that one proxy has.
+
+    Has the interface that :class:`bench.budget_measures.LoadedFleet` uses.
+    """
 
     def __init__(
         self, me: str, others: list[str], limits: tuple[FleetLimit, ...], now: float, is_first: bool, seed: int
     ) -> None:
-        """``is_first``: the fleet begins, so that it has its even part; else it starts again with nothing."""
+        """Begin with the even share of each limit if ``is_first`` (the fleet starts), else with nothing."""
         self.me = me
         self.others = others
         self.rng = random.Random(f"{me} {seed} {now}")
@@ -112,7 +130,7 @@
         self._requested_ms = now
 
     def spend(self, now: float, costs: Sequence[Cost]) -> bool:
-        """As :meth:`beechslip.budgets.node.BudgetNode.spend`, of one cost."""
+        """Spend one cost, like :meth:`beechslip.budgets.node.BudgetNode.spend`; return whether it is allowed."""
         (cost,) = costs
         is_allowed = self.quotas[cost.limit].spend(now, cost.amount)
         if not is_allowed:
@@ -120,30 +138,30 @@
         return is_allowed
 
     def confirm(self, now: float) -> None:
-        """What was spent has been written."""
+        """Confirm that the requests whose costs were spent have been written."""
         for quota in self.quotas.values():
             quota.confirm(now)
 
     def release(self, now: float, name: str, ended_by_backend: bool = False) -> None:
-        """One that was in flight has ended."""
+        """Record that an attempt in flight has ended."""
         self.quotas[name].release(now, ended_by_backend)
 
     def tick(self, now: float) -> Outgoing:
-        """Transfers that are due again, and the requests for what was short."""
+        """Return the transfers to resend, and the requests for limits that were short."""
         out: Outgoing = []
         for pending in self._pending.values():
-            if now - pending.sent_ms >= RESEND_MS:
+            if now - pending.sent_ms >= RESEND_INTERVAL_MS:
                 pending.sent_ms = now
                 out.append((pending.to, pending.transfer))
         if now - self._requested_ms >= REQUEST_INTERVAL_MS:
             self._requested_ms = now
             for name in sorted(self._short):
-                out += [(to, TransferRequest(name)) for to in self.rng.sample(self.others, ASKED_MEMBERS)]
+                out += [(to, TransferRequest(name)) for to in self.rng.sample(self.others, ASKED_MEMBER_COUNT)]
             self._short.clear()
         return out
 
     def receive(self, now: float, sender: str, message: EscrowMessage) -> Outgoing:
-        """Take a message; what it is answered."""
+        """Process a message and return the replies."""
         if isinstance(message, TransferAck):
             self._pending.pop(message.number, None)
             return []
@@ -155,7 +173,7 @@
         return [(sender, TransferAck(message.limit, message.number))]
 
     def _give(self, now: float, to: str, limit: str) -> Outgoing:
-        """Half of what is free, unless this proxy is short itself; rates are not moved."""
+        """Give half of what is free, unless this proxy is short itself. Rates are not transferred."""
         quota = self.quotas[limit]
         free = quota.available(now)
         if quota.limit.kind == "rate" or limit in self._short or free // 2 < 1.0:
@@ -167,8 +185,8 @@
         return [(to, transfer)]
 
 
-class EscrowDay(Day):
-    """Transfers go over the same network; there is no lease in it."""
+class EscrowFleet(LoadedFleet):
+    """A fleet that divides the limits by escrow; transfers use the simulated network, and no lease is involved."""
 
     def _boot(self, name: str) -> None:
         super()._boot(name)
@@ -192,9 +210,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WayResult:
-    """A day under one way: the fractions of the requests served (of all, and of the busy proxy), the fractions of the
-    fills in use after the deaths and at the end, datagrams a request, and violations."""
+class DivisionResult:
+    """Results of one run with one division.
+
+    ``served`` and ``busy_served`` are the fractions of the requests served, of all and of the busy proxy.
+    ``used_after`` and ``used_at_end`` are the fractions in use of the limit of fills in flight, after the deaths and
+    at the end. ``datagrams`` is per request.
+    """
 
     served: float
     busy_served: float
@@ -204,30 +226,30 @@
     violations: float
 
 
-def measure_day(day: str, way: str, loss: float, seed: int) -> WayResult:
-    """Run a day of ``DAYS`` under a way of ``WAYS``, as in :mod:`bench.budget_measures`."""
-    kind = DAYS[day]
-    faults = death_faults(random.Random(f"ways {day} {seed}"), SIZE, kind.dying)
-    weights = {f"d{n}": 5.0 if kind.is_unequal and n == 0 else 1.0 for n in range(SIZE)}
-    fleet_type = EscrowDay if way == "escrow" else Day
-    fleet = fleet_type(SIZE, seed, way, Net(loss, 0.0, loss, LATE_MS), END_MS, faults, weights)
+def measure_run(scenario: str, division: str, loss: float, seed: int) -> DivisionResult:
+    """Run a scenario of ``LOAD_SCENARIOS`` with a division of ``DIVISIONS``, as in :mod:`bench.budget_measures`."""
+    kind = LOAD_SCENARIOS[scenario]
+    faults = death_faults(random.Random(f"ways {scenario} {seed}"), FLEET_SIZE, kind.dying)
+    weights = {f"d{n}": 5.0 if kind.is_unequal and n == 0 else 1.0 for n in range(FLEET_SIZE)}
+    fleet_type = EscrowFleet if division == "escrow" else LoadedFleet
+    fleet = fleet_type(FLEET_SIZE, seed, division, Net(loss, 0.0, loss, MAX_LATENESS_MS), RUN_END_MS, faults, weights)
     fleet.run()
-    total = fleet.total()
+    total_requests = fleet.total_requests()
     busy = fleet.requests["d0"]
-    return WayResult(
-        served=total.served / total.made,
+    return DivisionResult(
+        served=total_requests.served / total_requests.made,
         busy_served=busy.served / max(1, busy.made),
-        used_after=fleet.mean_in_use("flight", DEATH_MS + AFTER_MS),
-        used_at_end=float(np.mean([used["flight"] for t, used in fleet.samples if t > END_MS - LAST_MS])),
-        datagrams=fleet.sent / total.made,
+        used_after=fleet.mean_in_use("flight", DEATHS_AT_MS + SAMPLE_AFTER_DEATHS_MS),
+        used_at_end=float(np.mean([used["flight"] for t, used in fleet.samples if t > RUN_END_MS - END_SAMPLE_MS])),
+        datagrams=fleet.sent / total_requests.made,
         violations=float(fleet.violations()),
     )
 
 
 def lease_datagrams(count: int, seed: int = 1) -> float:
-    """Datagrams a second of ten members that hold ``count`` leases between them."""
+    """Return the datagrams per second of ten members that hold ``count`` leases between them."""
     plan = Plan(
-        SIZE,
+        FLEET_SIZE,
         tuple(f"u{n}" for n in range(count)),
         LEASE_RUN_MS,
         Net(),
@@ -241,8 +263,8 @@
     return fleet.sent / (LEASE_RUN_MS / 1000.0)
 
 
-def ways_section(pool: ProcessPoolExecutor, seeds: list[int]) -> list[str]:
-    """Each way on each day, with and without loss."""
+def divisions_section(pool: ProcessPoolExecutor, seeds: list[int]) -> list[str]:
+    """Return the table of each division in each scenario, with and without loss."""
     lines = [
         "Ten proxies, virtual time, days as in `budgets.md`; means over the seeds. Fraction of the limit in use: "
         "fills in flight, 10 s after the deaths and in the last 10 s, when all have been back for 15 s.",
@@ -251,10 +273,12 @@
         "| above the limit |",
         "| --- | ---: | --- |" + " ---: |" * 6,
     ]
-    cases = [(day, way, loss) for day in DAYS for way in WAYS for loss in LOSSES]
-    days = [(*case, seed) for case in cases for seed in seeds]
-    results = iter(list(pool.map(measure_day, *zip(*days, strict=True))))
-    for day, way, loss in cases:
+    cases = [
+        (scenario, division, loss) for scenario in LOAD_SCENARIOS for division in DIVISIONS for loss in LOSS_RATES
+    ]
+    runs = [(*case, seed) for case in cases for seed in seeds]
+    results = iter(list(pool.map(measure_run, *zip(*runs, strict=True))))
+    for scenario, division, loss in cases:
         found = [next(results) for _ in seeds]
         served = np.mean([result.served for result in found])
         busy = np.mean([result.busy_served for result in found])
@@ -263,7 +287,7 @@
         datagrams = np.mean([result.datagrams for result in found])
         violations = np.mean([result.violations for result in found])
         lines.append(
-            f"| {day} | {loss:.0%} | {way} | {served:.2f} | {busy:.2f} | {after:.2f} | {end:.2f} "
+            f"| {scenario} | {loss:.0%} | {division} | {served:.2f} | {busy:.2f} | {after:.2f} | {end:.2f} "
             f"| {datagrams:.3f} | {violations:g} |"
         )
         print(lines[-1], flush=True)
@@ -271,7 +295,7 @@
 
 
 def leases_section(pool: ProcessPoolExecutor) -> list[str]:
-    """What single units as leases cost."""
+    """Return the table of the cost of a lease for each single unit."""
     lines = [
         "",
         "## Single units as leases",
@@ -289,7 +313,7 @@
 
 
 def main() -> None:
-    """Measure all ways and write the page."""
+    """Measure all divisions and write the page."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=8)
     parser.add_argument("--workers", type=int, default=7)
@@ -297,10 +321,10 @@
     args = parser.parse_args()
     lines = ["# Ways to divide a fleet-wide limit", "", f"`python -m bench.ways --seeds {args.seeds}`", ""]
     with ProcessPoolExecutor(args.workers) as pool:
-        lines += ways_section(pool, list(range(1, args.seeds + 1)))
+        lines += divisions_section(pool, list(range(1, args.seeds + 1)))
         lines += leases_section(pool)
     args.out.mkdir(parents=True, exist_ok=True)
-    (args.out / "ways.md").write_text(page(lines))
+    (args.out / "ways.md").write_text(format_page(lines))
 
 
 if __name__ == "__main__":
--- a/tests/test_served_by_size.py
+++ b/tests/test_served_by_size.py
@@ -1,4 +1,4 @@
-"""Three real proxies under lasting overload: the largest requests of a class against the class (incident b01a72)."""
+"""Tests of three real proxies under lasting overload: the share served of the largest requests (incident b01a72)."""
 
 from __future__ import annotations
 
@@ -19,53 +19,58 @@
 from lab.processes import spawn
 from lab.stand import SETTINGS, StandLog, fetch, free_port, line, listening
 
-PROXIES = 3
-OBJECTS = 400
-FLOW_KB_S = 6400.0  # as in SETTINGS
+PROXY_COUNT = 3
+OBJECT_COUNT = 400
+TRANSFER_RATE_KB_S = 6400.0  # the rate in SETTINGS
 WAIT_MS = 4_000
-PLAY_S = 24.0
-LEAST_RATIO = 0.6  # of the class's served share, to the largest tenth and to the next fifth
-SIZES_S = ((0.7, 0.02, 0.08), (0.9, 0.15, 0.3), (1.0, 0.5, 0.8))  # up to this quantile: transfer times at full pace
+LOAD_S = 24.0
+MIN_RATIO = 0.6  # of the share served of the largest tenth, and of the next fifth, to that of the class
+# Each entry holds a quantile of the objects, and the shortest and longest transfer time at full rate up to it.
+TRANSFER_TIMES_S = ((0.7, 0.02, 0.08), (0.9, 0.15, 0.3), (1.0, 0.5, 0.8))
 
 
 @dataclass(frozen=True)
 class Overload:
-    """What is overloaded, and by how much."""
+    """The capacities of the backends and the load on them."""
 
-    cache_links: float  # transfers at full pace of each cache
-    parent_links: float
-    cached: float  # fraction of the objects that the caches hold
-    reports: bool  # responses carry load reports
-    load: float  # of what the caches' links carry
+    cache_links: float  # concurrent transfers at full rate of each cache
+    parent_links: float  # the same for the parent and for the origin
+    cached_fraction: float  # of the objects, by each cache
+    has_load_reports: bool  # in responses
+    load_factor: float  # relative to the capacity of the caches' links
 
 
 OVERLOADS = {
-    "cache links": Overload(cache_links=3.0, parent_links=50.0, cached=1.0, reports=True, load=2.5),
-    "cache links without reports": Overload(cache_links=3.0, parent_links=50.0, cached=1.0, reports=False, load=1.7),
-    "fills": Overload(cache_links=6.0, parent_links=2.0, cached=0.3, reports=True, load=0.9),
+    "cache links": Overload(
+        cache_links=3.0, parent_links=50.0, cached_fraction=1.0, has_load_reports=True, load_factor=2.5
+    ),
+    "cache links without reports": Overload(
+        cache_links=3.0, parent_links=50.0, cached_fraction=1.0, has_load_reports=False, load_factor=1.7
+    ),
+    "fills": Overload(cache_links=6.0, parent_links=2.0, cached_fraction=0.3, has_load_reports=True, load_factor=0.9),
 }
 
 
-class Play:
-    """The world of one play: backends, proxies and requests; the proxies' logs tell what came of each."""
+class OverloadRun:
+    """Backends, proxies and requests of one run; the proxies' logs record the result of each request."""
 
     def __init__(self, folder: Path, overload: Overload) -> None:
         self.folder, self.overload, self.rng = folder, overload, random.Random(11)
-        self.ports = [free_port() for _ in range(PROXIES)]
+        self.ports = [free_port() for _ in range(PROXY_COUNT)]
         caches = [LinkBackend(name, overload.cache_links) for name in ("a", "b")]
         parent = LinkBackend("hub", overload.parent_links, kind="parent", zone="north")
         origin = LinkBackend("archive", overload.parent_links, kind="origin", zone="north")
         self.backends = [*caches, parent, origin]
-        self.work_s = {f"{number:04x}": self._draw_work() for number in range(OBJECTS)}
+        self.work_s = {f"{number:04x}": self._draw_work() for number in range(OBJECT_COUNT)}
         for backend in self.backends:
-            backend.work_s, backend.reports = self.work_s, overload.reports
+            backend.work_s, backend.reports = self.work_s, overload.has_load_reports
             backend.sources = {source.name: source for source in (parent, origin)}
         for cache in caches:
-            cache.cached = {name for name in self.work_s if self.rng.random() < overload.cached}
+            cache.cached = {name for name in self.work_s if self.rng.random() < overload.cached_fraction}
 
     def _draw_work(self) -> float:
         quantile = self.rng.random()
-        low, high = next((low, high) for top, low, high in SIZES_S if quantile <= top)
+        low, high = next((low, high) for top, low, high in TRANSFER_TIMES_S if quantile <= top)
         return self.rng.uniform(low, high)
 
     @contextlib.asynccontextmanager
@@ -75,7 +80,7 @@
         log.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         links = [asyncio.create_task(backend.link.run()) for backend in self.backends]
         async with listening(*self.backends):
-            processes = [await self._start(number, log.address) for number in range(PROXIES)]
+            processes = [await self._start(number, log.address) for number in range(PROXY_COUNT)]
             try:
                 await asyncio.gather(*(self._ready(port) for port in self.ports))
                 yield
@@ -89,9 +94,9 @@
 
     async def _start(self, number: int, log_address: str) -> asyncio.subprocess.Process:
         settings: dict[str, Any] = copy.deepcopy(SETTINGS)
-        settings |= {"me": number, "balancers": PROXIES}
-        settings["specifics"]["instancesByZone"] = [0, PROXIES]
-        if not self.overload.reports:
+        settings |= {"me": number, "balancers": PROXY_COUNT}
+        settings["specifics"]["instancesByZone"] = [0, PROXY_COUNT]
+        if not self.overload.has_load_reports:
             settings["loadReport"] = {"columns": [], "how": "none"}
         listed = {"index": 1, "snapshot": True, "endpoints": [line(backend) for backend in self.backends]}
         config = {
@@ -116,23 +121,23 @@
                     return
             await asyncio.sleep(0.02)
 
-    async def load(self) -> None:
-        """Requests at an even pace, each to one of the proxies in turn."""
+    async def send_load(self) -> None:
+        """Send requests at even intervals, to each of the proxies in turn."""
         capacity = sum(backend.link.capacity for backend in self.backends if backend.kind == "std-box")
         mean_s = sum(self.work_s.values()) / len(self.work_s)
-        pause_s = mean_s / (self.overload.load * capacity)
+        pause_s = mean_s / (self.overload.load_factor * capacity)
         loop = asyncio.get_running_loop()
         began, tasks = loop.time(), list[asyncio.Task[None]]()
-        for number in range(int(PLAY_S / pause_s)):
+        for number in range(int(LOAD_S / pause_s)):
             await asyncio.sleep(max(began + number * pause_s - loop.time(), 0.0))
             tasks.append(asyncio.create_task(self._request(number)))
         await asyncio.gather(*tasks)
 
     async def _request(self, number: int) -> None:
         name = self.rng.choice(list(self.work_s))
-        size_kb = self.work_s[name] * FLOW_KB_S
+        size_kb = self.work_s[name] * TRANSFER_RATE_KB_S
         await fetch(
-            self.ports[number % PROXIES],
+            self.ports[number % PROXY_COUNT],
             f"/rpc/waveform/{name}?slice=0",
             wait_ms=WAIT_MS,
             Req_Id=f"{number:016x}",
@@ -140,16 +145,16 @@
         )
 
 
-# Guards against shedding, refused fills and time-outs that fall on the largest requests of a class for good.
+# Guards against shedding, refused fills and timeouts that always affect the largest requests of a class.
 @pytest.mark.parametrize("name", OVERLOADS)
 def test_the_largest_requests_of_a_class_are_served_nearly_as_often_as_the_class(tmp_path: Path, name: str) -> None:
-    play = Play(tmp_path, OVERLOADS[name])
+    overload_run = OverloadRun(tmp_path, OVERLOADS[name])
 
     async def run() -> None:
-        async with play.proxies():
-            await play.load()
+        async with overload_run.proxies():
+            await overload_run.send_load()
 
     asyncio.run(asyncio.wait_for(run(), 60))
     (found,) = folder_shares(tmp_path)
-    assert found.requests >= 400 and found.served < 0.98, "the play overloads nothing"
-    assert min(found.ratios) >= LEAST_RATIO, found
+    assert found.requests >= 400 and found.served < 0.98, "the load does not overload any backend"
+    assert min(found.ratios) >= MIN_RATIO, found
--- a/tests/test_service_by_size.py
+++ b/tests/test_service_by_size.py
@@ -1,4 +1,4 @@
-"""The request lines of the log, and the shares by size that are read from them."""
+"""Tests of the log lines about requests, and of the shares by size that are read from them."""
 
 from __future__ import annotations
 
@@ -27,8 +27,11 @@
     return OpenRequest(RequestReceived(call, Mock(), Mock()), read_settings(SETTINGS))
 
 
-def write_lines(caplog: pytest.LogCaptureFixture, level: int) -> list[str]:
-    """The lines about ten requests, of which the two largest are shed, one of them twice."""
+def request_log_lines(caplog: pytest.LogCaptureFixture, level: int) -> list[str]:
+    """Return the log lines of ten requests, two of which are tried twice, and of a client that departed.
+
+    The two largest requests are shed, and the second of them is then refused again, for its deadline.
+    """
     responder = Responder(ManualClock(), Counters())
     with caplog.at_level(level, "beechslip"):
         for number in range(10):
@@ -44,48 +47,53 @@
     return [f"2026-12-03 {record.name} {record.getMessage()}" for record in caplog.records]
 
 
-def test_every_request_has_a_line_with_its_size_and_reason(caplog: pytest.LogCaptureFixture, tmp_path: Path) -> None:
-    lines = write_lines(caplog, logging.DEBUG)
+def test_debug_log_has_line_with_size_and_reason_for_each_request(
+    caplog: pytest.LogCaptureFixture, tmp_path: Path
+) -> None:
+    lines = request_log_lines(caplog, logging.DEBUG)
     assert "r0 waveform refused after 0 of 900 ms, 100 KB, attempts 0, retry 250, shed " in lines[0]
     (tmp_path / "n0.log").write_text("\n".join([*lines[:5], "another line"]))
     (tmp_path / "n1.log").write_text("\n".join(lines[5:]))
     (found,) = service_by_size.folder_shares(tmp_path)
     assert (found.requests, round(found.served, 3)) == (11, 0.727)
-    # Under 400 requests the largest quarter counts: three of eleven, of which two were not served.
+    # A class with under 400 requests uses its largest quarter: three of eleven, of which two were not served.
     assert round(found.largest, 3) == 0.333 and found.next_largest == 1.0
     assert found.unserved == {"shed": 1, "deadline": 1}
     assert round(found.ratios[0], 3) == 0.458
 
 
-def test_at_the_usual_level_only_what_is_not_served_has_a_line(caplog: pytest.LogCaptureFixture) -> None:
-    assert len(write_lines(caplog, logging.INFO)) == 4 < MAX_LOG_LINES
+def test_info_log_has_lines_only_for_requests_not_served(caplog: pytest.LogCaptureFixture) -> None:
+    assert len(request_log_lines(caplog, logging.INFO)) == 4 < MAX_LOG_LINES
 
 
-def test_classes_without_sizes_have_no_shares() -> None:
+def test_shares_by_class_omits_classes_without_sizes() -> None:
     records = {str(n): service_by_size.RequestRecord("order", 0.0, ["served"]) for n in range(3)}
-    assert service_by_size.shares(records.values()) == []
+    assert service_by_size.shares_by_class(records.values()) == []
 
 
 @pytest.mark.parametrize(
     ("text", "level"), [("", logging.INFO), ("debug", logging.DEBUG), ("warning", logging.WARNING)]
 )
-def test_the_level_is_read_from_the_environment(text: str, level: int) -> None:
+def test_log_level_is_read_from_environment(text: str, level: int) -> None:
     assert log_level({"EDGE_LOG": text}) == level
     with pytest.raises(ConfigError, match="EDGE_LOG"):
         log_level({"EDGE_LOG": "all"})
 
 
-def entry(offered: float, served: float) -> list[object]:
+def report_entry(offered: float, served: float) -> list[object]:
     return [{"name": "waveform", "offered": offered, "served": served}, int(offered)]
 
 
 @pytest.mark.parametrize(
-    ("day", "largest", "kept"), [("calm+brink", 54.0, False), ("calm+brink", 61.0, True), ("zone+brink", 44.0, False)]
+    ("day", "largest", "is_met"),
+    [("calm+brink", 54.0, False), ("calm+brink", 61.0, True), ("zone+brink", 44.0, False)],
 )
-def test_a_report_of_the_bench_is_held_to_the_term(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], day: str, largest: float, kept: bool
+def test_main_checks_report_against_requirement(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], day: str, largest: float, is_met: bool
 ) -> None:
-    days = [{"name": day, "largest": [entry(100.0, largest), entry(0.0, 0.0), entry(1000.0, 900.0)]}]
+    days = [
+        {"name": day, "largest": [report_entry(100.0, largest), report_entry(0.0, 0.0), report_entry(1000.0, 900.0)]}
+    ]
     (tmp_path / "report.json").write_text(json.dumps({"days": days}))
-    assert service_by_size.main([str(tmp_path / "report.json")]) == (0 if kept else 1)
-    assert ("UNDER THE TERM" in capsys.readouterr().out) is not kept
+    assert service_by_size.main([str(tmp_path / "report.json")]) == (0 if is_met else 1)
+    assert ("UNDER THE TERM" in capsys.readouterr().out) is not is_met
