--- a/bench/budget_measures.py
+++ b/bench/budget_measures.py
@@ -133,10 +133,14 @@
         return float(np.mean([used[kind] for t, used in self.samples if abs(t - at_ms) <= MAX_SAMPLE_DISTANCE_MS]))
 
     def _traffic_share(self, name: str) -> float:
-        """Return the fraction of the fleet's requests that go to ``name``; members that are alive share them all."""
+        """Return the fraction of the fleet's requests that go to ``name``.
+
+        Requests for dead members go to the members that are alive.
+        """
         return self.weights.get(name, 1.0) / sum(self.weights.get(n, 1.0) for n in self.members)
 
     def _turn(self, name: str, one: Any) -> None:
+        # BudgetFleet._turn is skipped, because it spends by a demand of its own.
         VirtualFleet._turn(self, name, one)
         node = self.nodes[name]
         local = self._local(one)
@@ -182,7 +186,10 @@
 
 
 def death_faults(rng: random.Random, size: int, fraction: float) -> list[tuple[float, str, Any]]:
-    """Let a ``fraction`` of the members die at once under load and restart 15 to 20 s later with empty memory."""
+    """Return the faults of a run in which a ``fraction`` of the members die at once under load.
+
+    They restart 15 to 20 s later with empty memory.
+    """
     dead = rng.sample([f"d{n}" for n in range(size)], round(fraction * size))
     faults: list[tuple[float, str, Any]] = [(DEATHS_AT_MS, "kill", name) for name in dead]
     faults += [(DEATHS_AT_MS + RESTART_DELAY_MS + rng.uniform(0, RESTART_SPREAD_MS), "start", name) for name in dead]
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -267,11 +267,11 @@
     served: float
 
 
-def play_lab_scenario(name: str, enabled: bool) -> LabResult:
+def run_lab_scenario(name: str, has_budgets: bool) -> LabResult:
     """Run one lab scenario, with budgets or without them."""
     scenario = read_scenario(ROOT / "lab" / "scenarios" / f"{name}.toml")
     tables = {table: dict(values) for table, values in scenario.tables.items()}
-    tables["budgets"]["enabled"] = enabled
+    tables["budgets"]["enabled"] = has_budgets
     with tempfile.TemporaryDirectory() as folder:
         result = asyncio.run(run_scenario(dataclasses.replace(scenario, tables=tables), Path(folder) / "run"))
     max_used: dict[str, float] = {}
@@ -296,8 +296,8 @@
         "| --- | --- |" + " ---: |" * 4,
     ]
     for name in LAB_SCENARIOS:
-        before = play_lab_scenario(name, False)
-        after = play_lab_scenario(name, True)
+        before = run_lab_scenario(name, False)
+        after = run_lab_scenario(name, True)
         for kind in sorted(set(before.max_used) | set(after.max_used)):
             lines.append(
                 f"| {name} | {kind} | {before.max_used.get(kind, 0.0):.2f} | {after.max_used.get(kind, 0.0):.2f} "
--- a/bench/region_measures.py
+++ b/bench/region_measures.py
@@ -33,11 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ScenarioRun:
-    """Parameters of one run on processes: a lab scenario, the hub that fails in it, regions on or off, and a seed."""
+    """Parameters of one run on processes.
+
+    ``hub`` is the hub that fails in the lab scenario. ``has_regions`` is False for the program without regions.
+    """
 
     scenario: str
     hub: str
-    regions_on: bool
+    has_regions: bool
     seed: int
 
 
@@ -107,21 +110,21 @@
     attempts: int
 
 
-def departure_ms(times: Iterable[float], failed_at: float) -> float | None:
+def departure_ms(times: Iterable[float], failed_at_ms: float) -> float | None:
     """Return the time from the failure to the last attempt before the first gap, or ``None`` without attempts.
 
     ``times`` are those of one proxy's attempts through the hub.
     """
     last = None
-    for time in sorted(time for time in times if time >= failed_at):
+    for time in sorted(time for time in times if time >= failed_at_ms):
         if last is not None and time - last > DEPARTURE_GAP_MS:
             break
         last = time
-    return None if last is None else last - failed_at
+    return None if last is None else last - failed_at_ms
 
 
 def filled_twice(fills: Iterable[tuple[float, object, str]]) -> float:
-    """Return the fraction of the intervals with fills of an object in which two places filled it.
+    """Return the fraction of the intervals with fills of an object in which more than one place filled it.
 
     Each fill is a time in ms, the object, and the place. An interval is ``FILL_INTERVAL_MS`` long.
     """
@@ -139,7 +142,7 @@
 async def _measure_scenario(run: ScenarioRun) -> ScenarioResult:
     scenario = read_scenario(ROOT / "lab" / "scenarios" / f"{run.scenario}.toml")
     tables = {name: dict(table) for name, table in scenario.tables.items()}
-    tables["regions"]["enabled"] = run.regions_on
+    tables["regions"]["enabled"] = run.has_regions
     with tempfile.TemporaryDirectory() as folder:
         world = World(dataclasses.replace(scenario, tables=tables, seed=run.seed), Path(folder) / "run")
         try:
@@ -148,7 +151,7 @@
         finally:
             await world.close()
     zone_faults = [event["t"] for event in result.events if event["kind"] == "fault" and event.get("what") == "zone"]
-    failed_at = zone_faults[0]
+    failed_at_ms = zone_faults[0]
     fills = [
         request
         for backend in world.testbed.backends
@@ -156,16 +159,16 @@
         for request in backend.met
         if not request.probe and request.source
     ]
-    departures = _departures((request for request in fills if request.source == run.hub), failed_at)
+    departures = _departures((request for request in fills if request.source == run.hub), failed_at_ms)
     # From the failure to the end of the load. A request is served if its status is 200.
-    served_after = [outcome.answer == "200" for outcome in world.load.outcomes if outcome.at_ms >= failed_at]
+    served_after = [outcome.answer == "200" for outcome in world.load.outcomes if outcome.at_ms >= failed_at_ms]
     return ScenarioResult(
         lost=served_after.count(False) / max(1, len(served_after)),
         return_ms=_return_ms(result.events, zone_faults[1:]),
         departure_ms=max(departures, default=0.0),
         median_departure_ms=float(np.median(departures)) if departures else 0.0,
         filled_twice=filled_twice(
-            (request.t, request.target, request.source) for request in fills if request.t >= failed_at
+            (request.t, request.target, request.source) for request in fills if request.t >= failed_at_ms
         ),
         failed_attempts=float(
             sum(counters.get(name, 0) for counters in result.counters.values() for name in FAILED_ATTEMPT_COUNTERS)
@@ -176,7 +179,7 @@
     )
 
 
-def _departures(fills: Iterable[Any], failed_at: float) -> list[float]:
+def _departures(fills: Iterable[Any], failed_at_ms: float) -> list[float]:
     """Return the time until each proxy has left the hub.
 
     Only proxies with attempts through the hub after its failure count. The trace id of an attempt names its proxy.
@@ -184,7 +187,7 @@
     times: dict[str, list[float]] = {}
     for request in fills:
         times.setdefault(request.trace[:2], []).append(request.t)
-    departures = (departure_ms(proxy_times, failed_at) for proxy_times in times.values())
+    departures = (departure_ms(proxy_times, failed_at_ms) for proxy_times in times.values())
     return [elapsed for elapsed in departures if elapsed is not None]
 
 
@@ -211,12 +214,12 @@
     fleet.use_region_codec = True
     fleet.keep = True
     fleet.run()
-    first_left = {
+    first_departures = {
         event["member"]: event["t"]
         for event in reversed(fleet.events)
         if event["kind"] == "changeover" and FAILED_HUB in event["away"]
     }
-    times = sorted(first_left.values())
+    times = sorted(first_departures.values())
     if len(times) < run.members:
         return DepartureResult(RUN_LENGTH_MS - FAULT_AT_MS, RUN_LENGTH_MS - FAULT_AT_MS, 0.0)
     bytes_per_s = fleet.region_bytes / run.members / (RUN_LENGTH_MS / 1000.0)
--- a/bench/regions.py
+++ b/bench/regions.py
@@ -38,7 +38,7 @@
     "region-two-hubs": "hub",
 }
 SCENARIO_WORKERS = 2  # each runs a scenario with processes of its own
-FLEET_LOADS = ((10, 12.0), (40, 3.0), (200, 0.6))  # members, requests per second and member
+FLEET_LOADS = ((10, 12.0), (40, 3.0), (200, 0.6))  # members, requests per second of each
 HUB_FAULTS = ("dies", "slow")
 LOSS_RATES = (0.0, 0.1)
 FAULT_FREE_FAILURE_RATES = (0.01, 0.03)
@@ -66,28 +66,28 @@
     ]
     cells = list(itertools.product(HUBS_BY_SCENARIO, (False, True)))
     runs = {
-        (name, regions_on): [
-            ScenarioRun(name, HUBS_BY_SCENARIO[name], regions_on, seed) for seed in range(1, seeds + 1)
+        (name, has_regions): [
+            ScenarioRun(name, HUBS_BY_SCENARIO[name], has_regions, seed) for seed in range(1, seeds + 1)
         ]
-        for name, regions_on in cells
+        for name, has_regions in cells
     }
     with ProcessPoolExecutor(SCENARIO_WORKERS) as pool:
         all_runs = list(itertools.chain.from_iterable(runs.values()))
         results = dict(zip(all_runs, pool.map(measure_scenario, all_runs), strict=True))
-    for name, regions_on in cells if seeds else ():
-        lines.append(_scenario_row(name, regions_on, [results[run] for run in runs[name, regions_on]]))
+    for name, has_regions in cells if seeds else ():
+        lines.append(_scenario_row(name, has_regions, [results[run] for run in runs[name, has_regions]]))
         print(lines[-1], flush=True)
     return lines
 
 
-def _scenario_row(name: str, regions_on: bool, results: list[ScenarioResult]) -> str:
+def _scenario_row(name: str, has_regions: bool, results: list[ScenarioResult]) -> str:
     def mean(field: str) -> float:
         return float(np.mean([getattr(result, field) for result in results]))
 
-    returns = [result.return_ms / 1000.0 for result in results if regions_on and result.return_ms is not None]
+    returns = [result.return_ms / 1000.0 for result in results if has_regions and result.return_ms is not None]
     cells = (
         name,
-        "on" if regions_on else "off",
+        "on" if has_regions else "off",
         f"{mean('departure_ms'):.0f} ({max(result.departure_ms for result in results):.0f})",
         f"{mean('median_departure_ms'):.0f}",
         f"{mean('filled_twice'):.3f}",
@@ -122,11 +122,11 @@
     results = dict(zip(runs, pool.map(measure_departure, runs), strict=True))
     means: dict[tuple[int, str], float] = {}
     for (members, rate), fault, loss in itertools.product(FLEET_LOADS, HUB_FAULTS, LOSS_RATES):
-        found = [results[DepartureRun(members, rate, fault, loss, seed)] for seed in range(1, seeds + 1)]
-        half_ms = np.mean([result.half_ms for result in found])
-        all_ms = float(np.mean([result.all_ms for result in found]))
-        most_ms = max(result.all_ms for result in found)
-        bytes_per_s = np.mean([result.bytes_per_s for result in found])
+        case_results = [results[DepartureRun(members, rate, fault, loss, seed)] for seed in range(1, seeds + 1)]
+        half_ms = np.mean([result.half_ms for result in case_results])
+        all_ms = float(np.mean([result.all_ms for result in case_results]))
+        most_ms = max(result.all_ms for result in case_results)
+        bytes_per_s = np.mean([result.bytes_per_s for result in case_results])
         if loss == 0.0:
             means[members, fault] = all_ms
         lines.append(
--- a/bench/replay_fleet.py
+++ b/bench/replay_fleet.py
@@ -32,8 +32,8 @@
 def _classes(*effects: str) -> list[Message]:
     base = {"onTime": 0.3, "giveUp": 2.0, "credit": 1.0}
     return [
-        base | {"name": f"class{place}", "effect": effect, "credit": 1.0 + place, "group": "all", "window": 1.0}
-        for place, effect in enumerate(effects)
+        base | {"name": f"class{number}", "effect": effect, "credit": 1.0 + number, "group": "all", "window": 1.0}
+        for number, effect in enumerate(effects)
     ]
 
 
@@ -192,14 +192,14 @@
         self.requests += 1
         name = f"r{self.requests}"
         number = min(int(self.random.paretovariate(0.9)), OBJECT_COUNT)
-        place = self.random.choices((0, 1, 2), (8, 1, 1))[0]
+        class_number = self.random.choices((0, 1, 2), (8, 1, 1))[0]
         if self.random.random() < 0.03:
             self._schedule(self.random.uniform(0.01, 0.6), {"event_type": "GONE", "proxy": proxy, "txn": name})
         return {
             "event_type": "CALL",
             "proxy": proxy,
             "txn": name,
-            "qos": f"class{place}",
+            "qos": f"class{class_number}",
             "file": f"/{number}",
             "chunk": self.random.randrange(3),
             "setNo": number % GROUP_COUNT,
@@ -219,8 +219,8 @@
                 self.members[name]["onlineSince"] = self.now
                 return self._endpoint_list("changes", [name])
             case "drain":
-                fading = self.members[name]["condition"] == "on" and not name.startswith("o")
-                self.members[name]["condition"] = "fading" if fading else "on"
+                is_fading = self.members[name]["condition"] == "on" and not name.startswith("o")
+                self.members[name]["condition"] = "fading" if is_fading else "on"
                 return self._endpoint_list("changes", [name])
             case "refused":
                 return [{"event_type": "PEERS_KNOWN", "proxy": 0, "kind": "refused", "seqNo": 0}]
@@ -288,26 +288,26 @@
         number = self.attempts.get((proxy, request), 0)
         self.attempts[proxy, request] = number + 1
         attempts.add(number)
-        hit = self.random.random() < 0.5
-        took = self.random.lognormvariate(-4.0, 0.8) if hit else self.random.lognormvariate(-2.5, 0.8)
-        note, result = (1 if hit else self.random.choice((2, 3, 4))), "pass"
+        is_hit = self.random.random() < 0.5
+        took = self.random.lognormvariate(-4.0, 0.8) if is_hit else self.random.lognormvariate(-2.5, 0.8)
+        note, result = (1 if is_hit else self.random.choice((2, 3, 4))), "pass"
         fault, source_fault = self._current_fault(store), self._current_fault(source) if source != store else ""
         if fault in ("no_route", "cut", "fault", "no_room"):
             result, note, took = fault, 0, 0.004
-        elif fault == "silent" or (source_fault in ("silent", "slow") and not hit):
+        elif fault == "silent" or (source_fault in ("silent", "slow") and not is_hit):
             took = 9.0
         elif fault == "slow":
             took *= 10.0
-        elif source_fault and not hit:
+        elif source_fault and not is_hit:
             result, note = self.random.choice((("fault", 7), ("none_here", 8), ("no_room", 6), ("no_room", 9)))
-        elif source == store and not hit:
+        elif source == store and not is_hit:
             result, note = "none_here", 0
         wait = action.get("maxWait") or 2.0
         if took > wait:
             result, note, took = "too_slow", 0, wait
         if result == "pass" and took > 0.05 and self.random.random() < 0.3:
-            first = {"event_type": "HEAD_RECEIVED", "proxy": proxy, "txn": request, "n": number, "store": store}
-            self._schedule(took / 2.0, first)
+            head = {"event_type": "HEAD_RECEIVED", "proxy": proxy, "txn": request, "n": number, "store": store}
+            self._schedule(took / 2.0, head)
         end = self._closed_attempt(proxy, request, number, store, result, took)
         load = {"active": self.random.randrange(12), "cpu": round(self.random.uniform(0.1, 1.0), 2), "x1": 0.5}
         self._schedule(took, end | {"detail": note, "pressure": load, "doneFlag": result == "pass"})
--- a/bench/service_by_size.py
+++ b/bench/service_by_size.py
@@ -96,7 +96,7 @@
     by_class: dict[str, list[RequestRecord]] = defaultdict(list)
     for request in requests:
         by_class[request.class_name].append(request)
-    found = []
+    all_shares = []
     for name, members in sorted(by_class.items()):
         members.sort(key=lambda request: -request.size_kb)
         if not members[0].size_kb:
@@ -106,7 +106,7 @@
         second = round((largest_fraction + NEXT_FRACTION) * len(members))
         largest = members[:first]
         unserved = Counter(request.ends[-1] for request in largest if not request.is_served)
-        found.append(
+        all_shares.append(
             ClassShares(
                 name,
                 len(members),
@@ -116,7 +116,7 @@
                 unserved,
             )
         )
-    return found
+    return all_shares
 
 
 def folder_shares(folder: Path) -> list[ClassShares]:
@@ -140,7 +140,7 @@
 
     A day's ``largest`` has three entries for each class: its largest requests, the next fifth, and all requests.
     """
-    found = []
+    all_shares = []
     for day in report["days"]:
         entries = day["largest"]
         count = len(entries) // 3
@@ -157,8 +157,8 @@
                 next_largest,
                 Counter(),
             )
-            found.append((day["name"], class_shares))
-    return found
+            all_shares.append((day["name"], class_shares))
+    return all_shares
 
 
 def path_shares(path: Path) -> list[tuple[str, ClassShares]]:
@@ -183,10 +183,10 @@
     if not names:
         print(__doc__, file=sys.stderr)
         return 2
-    found = [pair for name in names for pair in path_shares(Path(name))]
-    for day, class_shares in found:
+    all_shares = [pair for name in names for pair in path_shares(Path(name))]
+    for day, class_shares in all_shares:
         print(report_line(day, class_shares) + ("" if meets_requirement(day, class_shares) else "  UNDER THE TERM"))
-    return 0 if all(meets_requirement(day, class_shares) for day, class_shares in found) else 1
+    return 0 if all(meets_requirement(day, class_shares) for day, class_shares in all_shares) else 1
 
 
 if __name__ == "__main__":
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -48,8 +48,8 @@
 ASKED_MEMBER_COUNT = 3  # members that a proxy asks when it is short
 DIVISIONS = ("static", "lent", "pool", "escrow")
 LOSS_RATES = (0.0, 0.1)
-SAMPLE_AFTER_DEATHS_MS = 10_000.0  # from the deaths
-END_SAMPLE_MS = 10_000.0  # the end of the run; all members have been back for 15 s by then
+SAMPLE_AFTER_DEATHS_MS = 10_000.0
+END_SAMPLE_MS = 10_000.0  # length of the sample at the end, by when all members have been back for 15 s
 LEASE_COUNTS = (1, 10, 40)
 LEASE_RUN_MS = 30_000.0
 
@@ -57,7 +57,7 @@
 class LoadScenario(NamedTuple):
     """What happens in a run: the fraction of members that die, and whether one has five times the others' traffic."""
 
-    dying: float
+    dying_fraction: float
     is_unequal: bool
 
 
@@ -118,9 +118,11 @@
         self.me = me
         self.others = others
         self.rng = random.Random(f"{me} {seed} {now}")
-        part = 1.0 / (len(others) + 1) if is_first else 0.0
+        initial_share = 1.0 / (len(others) + 1) if is_first else 0.0
         usable_from_ms = now if is_first else None
-        self.quotas = {limit.name: Quota(limit, now, limit.amount * part, usable_from_ms) for limit in limits}
+        self.quotas = {
+            limit.name: Quota(limit, now, limit.amount * initial_share, usable_from_ms) for limit in limits
+        }
         for quota in self.quotas.values():
             quota._loans = []
         self._short: set[str] = set()
@@ -228,9 +230,9 @@
 
 def measure_run(scenario: str, division: str, loss: float, seed: int) -> DivisionResult:
     """Run a scenario of ``LOAD_SCENARIOS`` with a division of ``DIVISIONS``, as in :mod:`bench.budget_measures`."""
-    kind = LOAD_SCENARIOS[scenario]
-    faults = death_faults(random.Random(f"ways {scenario} {seed}"), FLEET_SIZE, kind.dying)
-    weights = {f"d{n}": 5.0 if kind.is_unequal and n == 0 else 1.0 for n in range(FLEET_SIZE)}
+    load_scenario = LOAD_SCENARIOS[scenario]
+    faults = death_faults(random.Random(f"ways {scenario} {seed}"), FLEET_SIZE, load_scenario.dying_fraction)
+    weights = {f"d{n}": 5.0 if load_scenario.is_unequal and n == 0 else 1.0 for n in range(FLEET_SIZE)}
     fleet_type = EscrowFleet if division == "escrow" else LoadedFleet
     fleet = fleet_type(FLEET_SIZE, seed, division, Net(loss, 0.0, loss, MAX_LATENESS_MS), RUN_END_MS, faults, weights)
     fleet.run()
@@ -279,13 +281,13 @@
     runs = [(*case, seed) for case in cases for seed in seeds]
     results = iter(list(pool.map(measure_run, *zip(*runs, strict=True))))
     for scenario, division, loss in cases:
-        found = [next(results) for _ in seeds]
-        served = np.mean([result.served for result in found])
-        busy = np.mean([result.busy_served for result in found])
-        after = np.mean([result.used_after for result in found])
-        end = np.mean([result.used_at_end for result in found])
-        datagrams = np.mean([result.datagrams for result in found])
-        violations = np.mean([result.violations for result in found])
+        case_results = [next(results) for _ in seeds]
+        served = np.mean([result.served for result in case_results])
+        busy = np.mean([result.busy_served for result in case_results])
+        after = np.mean([result.used_after for result in case_results])
+        end = np.mean([result.used_at_end for result in case_results])
+        datagrams = np.mean([result.datagrams for result in case_results])
+        violations = np.mean([result.violations for result in case_results])
         lines.append(
             f"| {scenario} | {loss:.0%} | {division} | {served:.2f} | {busy:.2f} | {after:.2f} | {end:.2f} "
             f"| {datagrams:.3f} | {violations:g} |"
--- a/tests/test_served_by_size.py
+++ b/tests/test_served_by_size.py
@@ -155,6 +155,6 @@
             await overload_run.send_load()
 
     asyncio.run(asyncio.wait_for(run(), 60))
-    (found,) = folder_shares(tmp_path)
-    assert found.requests >= 400 and found.served < 0.98, "the load does not overload any backend"
-    assert min(found.ratios) >= MIN_RATIO, found
+    (class_shares,) = folder_shares(tmp_path)
+    assert class_shares.requests >= 400 and class_shares.served < 0.98, "the load does not overload any backend"
+    assert min(class_shares.ratios) >= MIN_RATIO, class_shares
--- a/tests/test_service_by_size.py
+++ b/tests/test_service_by_size.py
@@ -54,12 +54,12 @@
     assert "r0 waveform refused after 0 of 900 ms, 100 KB, attempts 0, retry 250, shed " in lines[0]
     (tmp_path / "n0.log").write_text("\n".join([*lines[:5], "another line"]))
     (tmp_path / "n1.log").write_text("\n".join(lines[5:]))
-    (found,) = service_by_size.folder_shares(tmp_path)
-    assert (found.requests, round(found.served, 3)) == (11, 0.727)
+    (class_shares,) = service_by_size.folder_shares(tmp_path)
+    assert (class_shares.requests, round(class_shares.served, 3)) == (11, 0.727)
     # A class with under 400 requests uses its largest quarter: three of eleven, of which two were not served.
-    assert round(found.largest, 3) == 0.333 and found.next_largest == 1.0
-    assert found.unserved == {"shed": 1, "deadline": 1}
-    assert round(found.ratios[0], 3) == 0.458
+    assert round(class_shares.largest, 3) == 0.333 and class_shares.next_largest == 1.0
+    assert class_shares.unserved == {"shed": 1, "deadline": 1}
+    assert round(class_shares.ratios[0], 3) == 0.458
 
 
 def test_info_log_has_lines_only_for_requests_not_served(caplog: pytest.LogCaptureFixture) -> None:
