--- a/bench/budget_measures.py
+++ b/bench/budget_measures.py
@@ -20,7 +20,7 @@
 from beechslip.leases.paxos import LeaseTuning
 from lab.virtual import VirtualFleet
 from lab.virtual_budgets import BudgetFleet
-from lab.virtual_plan import Net, Plan
+from lab.virtual_plan import NetworkConditions, RunPlan
 
 KINDS = ("window", "flight", "rate")
 WAYS = ("static", "lent", "pool")
@@ -71,11 +71,11 @@
         size: int,
         seed: int,
         way: str,
-        net: Net,
+        net: NetworkConditions,
         until_ms: float,
         faults: list[tuple[float, str, Any]],
         weights: dict[str, float] | None = None,
-        wire: bool = False,
+        use_codec: bool = False,
         wanted: float = WANTED,
     ) -> None:
         """``way`` is one of ``WAYS`` (or a subclass's own), ``weights`` by member (default 1)."""
@@ -84,7 +84,7 @@
         self.wanted = wanted
         self.requests = {f"d{n}": RequestCount() for n in range(size)}
         self.samples: list[tuple[float, dict[str, float]]] = []  # when, and the fraction of each limit in use
-        plan = Plan(
+        plan = RunPlan(
             size,
             (LEASE,),
             until_ms,
@@ -93,12 +93,12 @@
             tuning=LeaseTuning(),
             tick_ms=TICK_MS,
             drill_every_ms=NO_DRILL_MS,
-            wire=wire,
+            use_codec=use_codec,
         )
         self._chance = random.Random(f"day {seed}")
         super().__init__(seed, plan, limits_for(size, way))
         for at in range(0, int(until_ms), SAMPLE_MS):
-            self._at(float(at), self._sample)
+            self._call_at(float(at), self._sample)
 
     def _sample(self) -> None:
         in_use = {name: checker.used(self.now) / checker.limit.amount for name, checker in self.checkers.items()}
@@ -126,15 +126,15 @@
         """Its part of what the fleet's clients want; those of the dead go to the living."""
         return self.weights.get(name, 1.0) / sum(self.weights.get(n, 1.0) for n in self.members)
 
-    def _turn(self, name: str, one: Any) -> None:
-        VirtualFleet._turn(self, name, one)
+    def _run_member(self, name: str, one: Any) -> None:
+        VirtualFleet._run_member(self, name, one)
         node = self.nodes[name]
-        local = self._local(one)
+        local = self._local_ms(one)
         if self.way != "static":
-            self._pass_on(name, node.tick(local))
+            self._send_budgets(name, node.tick(local))
         if self.now < BEGIN_MS:
             return
-        for limit in self.base:
+        for limit in self.base_limits:
             mean = self.wanted * _per_second(limit) * self._weight(name) * self.plan.tick_ms / 1000.0
             for _ in range(_poisson(self._chance, mean)):
                 is_served = node.spend(local, [Cost(limit.name, 1.0)])
@@ -142,17 +142,17 @@
                 self.requests[name].made += 1
                 self.requests[name].served += is_served
                 if is_served:
-                    self._felt(name, limit.name)
+                    self._record_use(name, limit.name)
 
-    def _felt(self, name: str, limit: str, cost: float = 1.0) -> None:
+    def _record_use(self, name: str, limit: str, cost: float = 1.0) -> None:
         checker = self.checkers[limit]
         began = self.now + 1.0
-        self._at(began, lambda: checker.spend(self.now, name, cost))
+        self._call_at(began, lambda: checker.spend(self.now, name, cost))
         if checker.limit.kind == "flight":
             flight_ms = self._chance.expovariate(1 / MEAN_FLIGHT_MS)
             ended = began + min(flight_ms, checker.limit.tail_ms - 200.0)
-            self._at(ended, checker.release)
-            self._at(ended, partial(self._release, name, self._lives[name], limit, True))
+            self._call_at(ended, checker.release)
+            self._call_at(ended, partial(self._release, name, self._incarnations[name], limit, True))
 
 
 def _per_second(limit: FleetLimit) -> float:
@@ -195,7 +195,9 @@
 def deaths(size: int, fraction: float, loss: float, way: str, seed: int) -> DeathsResult:
     """A day on which a ``fraction`` of the members die (:func:`death_faults`)."""
     faults = death_faults(random.Random(f"deaths {size} {seed}"), size, fraction)
-    day = Day(size, seed, way, Net(loss, 0.0, loss, LATE_MS), END_MS, faults, wire=size == WIRE_SIZE)
+    day = Day(
+        size, seed, way, NetworkConditions(loss, 0.0, loss, LATE_MS), END_MS, faults, use_codec=size == WIRE_SIZE
+    )
     day.run()
     total = day.total()
     return DeathsResult(
@@ -221,7 +223,7 @@
 def unequal(wanted: float, size: int, way: str, seed: int) -> UnequalResult:
     """A day on which one proxy in ten has five times the others' traffic."""
     weights = {f"d{n}": 5.0 if n % 10 == 0 else 1.0 for n in range(size)}
-    day = Day(size, seed, way, Net(), BEGIN_MS + 30_000.0, [], weights, wanted=wanted)
+    day = Day(size, seed, way, NetworkConditions(), BEGIN_MS + 30_000.0, [], weights, wanted=wanted)
     day.run()
     return UnequalResult(
         day.served_fraction([name for name, weight in weights.items() if weight > 1]),
@@ -243,7 +245,7 @@
     """A day on which one starts under load: the time until it has four fifths of an even part of what clients
     want."""
     faults: list[tuple[float, str, Any]] = [(1.0, "kill", "d1"), (DEATH_MS, "start", "d1")]
-    day = Day(size, seed, way, Net(loss, 0.0, loss, LATE_MS), DEATH_MS + NEWCOMER_MS, faults)
+    day = Day(size, seed, way, NetworkConditions(loss, 0.0, loss, LATE_MS), DEATH_MS + NEWCOMER_MS, faults)
     not_within = NEWCOMER_MS / 1000.0
     seconds = dict.fromkeys(KINDS, not_within)
 
@@ -251,12 +253,12 @@
         member = day.members.get("d1")
         if member is None:
             return
-        for limit in day.base:
-            capacity = day.nodes["d1"].capacity(day._local(member), limit.name) or 0.0
+        for limit in day.base_limits:
+            capacity = day.nodes["d1"].capacity(day._local_ms(member), limit.name) or 0.0
             if seconds[limit.name] == not_within and capacity >= NEWCOMER_PART * WANTED * limit.amount / size:
                 seconds[limit.name] = (day.now - DEATH_MS) / 1000.0
 
     for step in range(1, int(NEWCOMER_MS / SAMPLE_MS)):
-        day._at(DEATH_MS + float(SAMPLE_MS) * step, look)
+        day._call_at(DEATH_MS + float(SAMPLE_MS) * step, look)
     day.run()
     return NewcomerResult(seconds, day.violations())
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -27,10 +27,10 @@
 from beechslip.leases.paxos import LeaseTuning
 from lab.injected_faults import registered
 from lab.scenario import read_scenario
-from lab.search import Bounds, Found, Search
+from lab.search import Bounds, Search, SearchResult
 from lab.stand import fetch
-from lab.virtual import VirtualFleet, play
-from lab.virtual_plan import Net, Plan
+from lab.virtual import VirtualFleet, run_seed
+from lab.virtual_plan import NetworkConditions, RunPlan
 from lab.world import World
 
 SIZES = (5, 20, 200)
@@ -91,19 +91,19 @@
     rng = random.Random(f"{size} {loss} {seed}")
     deaths_ms = [6_000.0 + k * EVERY_MS + rng.uniform(0, 3_000.0) for k in range(KILLS)]
     until_ms = deaths_ms[-1] + EVERY_MS
-    plan = Plan(
+    plan = RunPlan(
         size,
         ("t0",),
         until_ms,
-        Net(loss, 0.0, 0.1 if loss else 0.0, 2_000.0),
+        NetworkConditions(loss, 0.0, 0.1 if loss else 0.0, 2_000.0),
         [(death_ms, "holder", [(0.0, "kill"), (1_000.0, "start")]) for death_ms in deaths_ms],
         tuning=TUNING,
         tick_ms=50.0,
-        wire=True,
+        use_codec=True,
         drill_every_ms=1e12,
     )
     fleet = VirtualFleet(plan, seed)
-    fleet.keep = True
+    fleet.keeps_events = True
     checker = fleet.run()
     seconds = until_ms / 1000.0
     return Takeover(
@@ -194,7 +194,7 @@
 def virtual_time_section(pool: ProcessPoolExecutor, runs: int, workers: int) -> list[str]:
     """Seeded runs in virtual time, and how many found a violation."""
     began = time.monotonic()
-    outcomes = list(pool.map(play, range(runs), chunksize=16))
+    outcomes = list(pool.map(run_seed, range(runs), chunksize=16))
     bad = [outcome for outcome in outcomes if outcome.violations]
     return [
         "",
@@ -218,7 +218,7 @@
         "| --- | --- | ---: | --- |",
     ]
     for name, fault in registered("leases").items():
-        outcomes = pool.map(play, range(FAULT_SEEDS), [name] * FAULT_SEEDS, chunksize=16)
+        outcomes = pool.map(run_seed, range(FAULT_SEEDS), [name] * FAULT_SEEDS, chunksize=16)
         found = sum(bool(outcome.violations) for outcome in outcomes)
         lines.append(f"| {name} | {fault.description} | {found} | {searched(name)} |")
         print(lines[-1], flush=True)
@@ -240,7 +240,7 @@
     for bounds, found in zip(BOUNDS, pool.map(_search, BOUNDS, [states] * len(BOUNDS)), strict=True):
         lines.append(
             f"| {bounds.units} | {bounds.restarts} | {bounds.repeats} | {bounds.renews} | {found.states:,} "
-            f"| {found.steps:,} | {'yes' if found.complete else 'no'} "
+            f"| {found.steps:,} | {'yes' if found.is_complete else 'no'} "
             f"| {'yes' if found.violation else 'none'} |"
         )
         print(lines[-1], flush=True)
@@ -299,7 +299,7 @@
     return lines
 
 
-def _search(bounds: Bounds, most: int) -> Found:
+def _search(bounds: Bounds, most: int) -> SearchResult:
     return Search(bounds).run(most)
 
 
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -23,10 +23,10 @@
 from beechslip.orders.model import Kind
 from bench.text import page
 from lab.agent_fleet import WriteFault
-from lab.agent_judge import Outcome
-from lab.agent_world import Case, Fault, FaultKind, run_case
+from lab.agent_judge import CaseOutcome
+from lab.agent_world import Fault, FaultKind, OrderCase, run_case
 from lab.injected_faults import registered
-from lab.virtual_agents import play, sweep
+from lab.virtual_agents import run_seed, run_with_write_fault
 
 PROXIES = 20
 AGENTS = 5
@@ -80,10 +80,10 @@
 ]
 
 
-def roll_out(name: str, seed: int) -> Outcome:
+def roll_out(name: str, seed: int) -> CaseOutcome:
     """One run of a rollout on real processes."""
     rollout = ROLLOUTS[name]
-    case = Case(
+    case = OrderCase(
         f"bench {seed}",
         "restart",
         PROXIES,
@@ -99,10 +99,10 @@
 
 def sweep_writes(kind: Kind, fault: WriteFault) -> tuple[int, Counter[str]]:
     """Every write of a start and an order failing in turn: plays, and how orders and steps ended."""
-    writes = sweep(kind).writes
+    writes = run_with_write_fault(kind).writes
     ended: Counter[str] = Counter()
     for write in range(1, writes + 1):
-        result = sweep(kind, write, fault)
+        result = run_with_write_fault(kind, write, fault)
         ended["violations"] += len(result.violations)
         ended[f"order {result.order.state}"] += 1
         ended.update(f"{STEP_PREFIX}{step.state}" for step in result.order.steps)
@@ -127,14 +127,14 @@
     worst: dict[str, float] = {}
     for name in ROLLOUTS if seeds else ():
         runs = [roll_out(name, seed) for seed in range(1, seeds + 1)]
-        worst[name] = float(np.mean([run.worst for run in runs]))
+        worst[name] = float(np.mean([run.min_served_fraction for run in runs]))
         rows.append(printed(rollout_row(name, runs, worst[name])))
     if worst:
         draw(worst, chart)
     return rows
 
 
-def rollout_row(name: str, runs: Sequence[Outcome], worst: float) -> str:
+def rollout_row(name: str, runs: Sequence[CaseOutcome], worst: float) -> str:
     """The means over the runs of one rollout."""
     took_s = np.mean([run.took_s for run in runs])
     served = np.mean([run.answers.get("200", 0) / max(1, sum(run.answers.values())) for run in runs])
@@ -158,7 +158,7 @@
 
 def soak_text(pool: ProcessPoolExecutor, seeds: int) -> str:
     """What came of seeds with all faults, in a sentence."""
-    plays = list(pool.map(play, range(seeds), chunksize=CHUNK_SIZE))
+    plays = list(pool.map(run_seed, range(seeds), chunksize=CHUNK_SIZE))
     total: Counter[str] = Counter()
     for result in plays:
         total.update(result.states)
@@ -174,7 +174,7 @@
     rows = []
     seeds = range(INJECTED_FAULT_SEEDS)
     for fault in sorted(registered("orders")):
-        results = pool.map(play, seeds, [fault] * len(seeds), chunksize=CHUNK_SIZE)
+        results = pool.map(run_seed, seeds, [fault] * len(seeds), chunksize=CHUNK_SIZE)
         rows.append(printed(f"| {fault} | {sum(bool(result.violations) for result in results)} |"))
     return rows
 
--- a/bench/region_measures.py
+++ b/bench/region_measures.py
@@ -18,7 +18,7 @@
 from lab.backends import BusyBackend
 from lab.processes import ROOT
 from lab.scenario import read_scenario
-from lab.virtual_plan import Net, Plan
+from lab.virtual_plan import NetworkConditions, RunPlan
 from lab.virtual_regions import NO_DRILL_MS, SIZES, RegionFault, RegionFleet, RegionHealth
 from lab.world import World
 
@@ -178,12 +178,12 @@
 
 def measure_departure(run: DepartureRun) -> Departure:
     """Let a hub fail in virtual time, with the settings as shipped; the whole run's length if not all leave."""
-    net = Net(run.loss, 0.0, run.loss, 500.0)
+    net = NetworkConditions(run.loss, 0.0, run.loss, 500.0)
     health = RegionHealth(1.0) if run.fault == "dies" else RegionHealth(slowdown=10.0)
     fleet = _shipped_fleet(run.members, RUN_MS, net, 50.0, run.seed, [RegionFault(FAULT_AT_MS, FAILED_HUB, health)])
     fleet.requests_per_s = run.requests_per_s
     fleet.use_region_codec = True
-    fleet.keep = True
+    fleet.keeps_events = True
     fleet.run()
     first_left = {
         event["member"]: event["t"]
@@ -200,16 +200,16 @@
 def measure_calm(run: CalmRun) -> CalmResult:
     """Count the regions that are left though none fails, with a part of all attempts failing."""
     faults = [RegionFault(0.0, name, RegionHealth(run.failure_rate)) for name in SIZES]
-    fleet = _shipped_fleet(run.members, run.seconds * 1000.0, Net(0.05), 100.0, run.seed, faults)
+    fleet = _shipped_fleet(run.members, run.seconds * 1000.0, NetworkConditions(0.05), 100.0, run.seed, faults)
     fleet.run()
     return CalmResult(fleet.regions.max_away, fleet.attempts)
 
 
 def _shipped_fleet(
-    members: int, until_ms: float, net: Net, tick_ms: float, seed: int, faults: list[RegionFault]
+    members: int, until_ms: float, net: NetworkConditions, tick_ms: float, seed: int, faults: list[RegionFault]
 ) -> RegionFleet:
     """A fleet with the settings as shipped and no faults but ``faults`` and those of ``net``."""
-    plan = Plan(
+    plan = RunPlan(
         members,
         (LEASE,),
         until_ms,
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -29,7 +29,7 @@
 from bench.budget_measures import DEATH_MS, END_MS, LATE_MS, NO_DRILL_MS, TICK_MS, Day, death_faults
 from bench.text import page
 from lab.virtual import VirtualFleet
-from lab.virtual_plan import Net, Plan
+from lab.virtual_plan import NetworkConditions, RunPlan
 
 SIZE = 10
 REQUEST_INTERVAL_MS = 500.0
@@ -173,13 +173,13 @@
     def _boot(self, name: str) -> None:
         super()._boot(name)
         others = [f"d{n}" for n in range(self.plan.size) if f"d{n}" != name]
-        local = self._local(self.members[name])
-        self.nodes[name] = Escrow(name, others, self.base, local, self.now == 0.0, self.seed)  # type: ignore[assignment]
+        local = self._local_ms(self.members[name])
+        self.nodes[name] = Escrow(name, others, self.base_limits, local, self.now == 0.0, self.seed)  # type: ignore[assignment]
 
-    def _through(self, sender: str, message: Any) -> Any:
-        return message if isinstance(message, EscrowMessage) else super()._through(sender, message)
+    def _pass_through_codec(self, sender: str, message: Any) -> Any:
+        return message if isinstance(message, EscrowMessage) else super()._pass_through_codec(sender, message)
 
-    def _pass_on(self, sender: str, out: Any) -> None:
+    def _send_budgets(self, sender: str, out: Any) -> None:
         self.budget_datagrams += len(out)
         self._send(sender, out)
 
@@ -187,8 +187,8 @@
         member = self.members.get(to)
         if not isinstance(message, EscrowMessage):
             super()._deliver(sender, to, message)
-        elif member is not None and not member.stopped:
-            self._pass_on(to, self.nodes[to].receive(self._local(member), sender, message))  # type: ignore[arg-type]
+        elif member is not None and not member.is_stopped:
+            self._send_budgets(to, self.nodes[to].receive(self._local_ms(member), sender, message))  # type: ignore[arg-type]
 
 
 @dataclass(frozen=True, slots=True)
@@ -210,7 +210,7 @@
     faults = death_faults(random.Random(f"ways {day} {seed}"), SIZE, kind.dying)
     weights = {f"d{n}": 5.0 if kind.is_unequal and n == 0 else 1.0 for n in range(SIZE)}
     fleet_type = EscrowDay if way == "escrow" else Day
-    fleet = fleet_type(SIZE, seed, way, Net(loss, 0.0, loss, LATE_MS), END_MS, faults, weights)
+    fleet = fleet_type(SIZE, seed, way, NetworkConditions(loss, 0.0, loss, LATE_MS), END_MS, faults, weights)
     fleet.run()
     total = fleet.total()
     busy = fleet.requests["d0"]
@@ -226,11 +226,11 @@
 
 def lease_datagrams(count: int, seed: int = 1) -> float:
     """Datagrams a second of ten members that hold ``count`` leases between them."""
-    plan = Plan(
+    plan = RunPlan(
         SIZE,
         tuple(f"u{n}" for n in range(count)),
         LEASE_RUN_MS,
-        Net(),
+        NetworkConditions(),
         [],
         tuning=LeaseTuning(),
         tick_ms=TICK_MS,
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -96,14 +96,14 @@
     workers: Annotated[int, typer.Option(min=1, max=64)] = 4,
 ) -> None:
     """Play seeded runs in virtual time, with all faults. Exits with 1 at a violation and names its seed."""
-    from lab.virtual import play
+    from lab.virtual import run_seed
 
     _check_fault(fault)
     began = time.monotonic()
     totals: Counter[str] = Counter()
     with ProcessPoolExecutor(workers) as pool, Progress(console=console, transient=True) as progress:
         bar = progress.add_task("seeds", total=seeds)
-        for outcome in pool.map(play, range(first, first + seeds), [fault] * seeds, chunksize=8):
+        for outcome in pool.map(run_seed, range(first, first + seeds), [fault] * seeds, chunksize=8):
             progress.advance(bar)
             for name in ("steps", "datagrams", "holds", "handovers", "acts"):
                 totals[name] += getattr(outcome, name)
@@ -161,7 +161,7 @@
         found = Search(Bounds(units, (1, 1), renews, restarts, repeats)).run(most, deep)
     console.print(
         f"{found.states} states, {found.steps} steps, "
-        f"{'all within the bounds' if found.complete else 'ended before all were visited'}"
+        f"{'all within the bounds' if found.is_complete else 'ended before all were visited'}"
     )
     if found.violation:
         console.print(found.violation, markup=False)
--- a/lab/agent_fleet.py
+++ b/lab/agent_fleet.py
@@ -1,9 +1,14 @@
-"""Agents in virtual time: the program's own :class:`Agent` and :class:`OrderStore` over one store in memory, with
-simulated proxies.
+"""Runs agents in virtual time over one in-memory store, with simulated proxies.
 
-Faults: agents are killed and started again (their proxies drain, as they do when their agent is gone), freeze between
-any check and the write or act after it, and go on; proxies die, or ignore SIGTERM; any numbered write fails (the disk
-is full, an I/O error) or is executed and its answer lost; the store is unreachable, or full, for a while.
+The agents and the order store are the program's own :class:`Agent` and :class:`OrderStore`.
+
+Faults:
+
+- An agent is killed and started again. Its proxies drain, as real proxies do when their agent is gone.
+- An agent freezes between any check and the write or action after it, and continues later.
+- A proxy dies, or ignores SIGTERM.
+- Any write, selected by its number, fails (full disk, I/O error), or is executed and its answer is lost.
+- The store is unreachable or full for a while.
 """
 
 from __future__ import annotations
@@ -33,27 +38,30 @@
 T = TypeVar("T")
 
 TICK_MS = 250.0
-LEASE = LeaseTuning(2000.0, 2000.0, 200.0, 0.01, 250.0)
-TIMEOUTS = StepTimeouts(12_000.0, 40_000.0)
+LEASE_TUNING = LeaseTuning(2000.0, 2000.0, 200.0, 0.01, 250.0)
+STEP_TIMEOUTS = StepTimeouts(12_000.0, 40_000.0)
 
 SHORT_TAKE_TIMEOUT_MS = 300.0
-"""In a fifth of the runs requests are withdrawn so soon that agents are just about to take them."""
+"""In a fifth of the runs, steps are withdrawn so early that agents are just about to take them."""
 
 SHORT_TAKE_TIMEOUT_SEEDS = 5
+"""One in this many seeds has the short timeout."""
+
+AGENT_RESTART_MS = 4_000.0
+"""Time after which an agent that was killed at a write is started again."""
 
-REBOOT_MS = 4_000.0
-"""Time after which an agent that died at a write is started again."""
+FREEZE_RANGE_MS = (500.0, 6_000.0)
+"""Shortest and longest freeze of an agent."""
 
-FREEZE_MS = (500.0, 6_000.0)
 MAX_YIELDS = 400
-"""Event loop turns in a tick, by which every pass that can go on has gone on."""
+"""Event loop turns in a tick. They are enough for every pass that is not blocked by a fault."""
 
-WRITES = ("INSERT", "UPDATE", "DELETE")
+WRITE_STATEMENTS = ("INSERT", "UPDATE", "DELETE")
 ENDED_ORDER_STATES = ("done", "refused", "cancelled")
 
 
 class WriteFault(StrEnum):
-    """How one numbered write fails; the last two kill the agent that writes."""
+    """The way in which a numbered write fails. The last two also kill the agent that writes."""
 
     FULL = "full"
     IO = "io"
@@ -63,46 +71,49 @@
 
 
 class FaultyConnection:
-    """One agent's connection to the store: unreachable or full for a while, or failing at one numbered write."""
+    """One agent's connection to the store, with injected faults.
+
+    The store can be unreachable or full for a while, or fail at writes selected by their numbers.
+    """
 
     def __init__(self, fleet: AgentFleet, inner: Rows, holder: str) -> None:
-        """``holder``: the agent with its incarnation, as it stands in leases."""
+        """Wrap ``inner`` for ``holder``, the agent's name and incarnation as they are written in leases."""
         self.fleet = fleet
         self.holder = holder
         self.serial = inner.serial
-        self.unreachable = False
+        self.is_unreachable = False
         self._inner = inner
 
     def run(self, sql: str, **values: Any) -> list[tuple[Any, ...]]:
-        """Rows of a statement; StoreError where a fault is injected."""
-        if self.unreachable:
-            raise StoreError("unreachable")
-        if not sql.startswith(WRITES):
+        """Execute a statement and return its rows. Raises StoreError if a fault is injected."""
+        if self.is_unreachable:
+            raise StoreError("store unreachable")
+        if not sql.startswith(WRITE_STATEMENTS):
             return self._inner.run(sql, **values)
         self.fleet.writes += 1
         fault = self.fleet.write_faults.get(self.fleet.writes)
         self._fail_before(fault)
         rows = self._inner.run(sql, **values)
         if rows:
-            self._check(values)
+            self._check_write(values)
         if fault in (WriteFault.LOST, WriteFault.DIES_AFTER):
-            raise StoreError("the answer is lost")
+            raise StoreError("answer lost")
         return rows
 
     def _fail_before(self, fault: WriteFault | None) -> None:
         if fault in (WriteFault.DIES_BEFORE, WriteFault.DIES_AFTER):
             agent = self.holder.split("/")[0]
             self.fleet.clock.call_later(0.0, lambda: self.fleet.kill_agent(agent))
-            self.fleet.clock.call_later(REBOOT_MS, lambda: self.fleet.boot(agent))
+            self.fleet.clock.call_later(AGENT_RESTART_MS, lambda: self.fleet.boot_agent(agent))
         if fault is WriteFault.DIES_BEFORE:
-            raise StoreError("killed")
-        if self.fleet.full or fault is WriteFault.FULL:
+            raise StoreError("agent killed")
+        if self.fleet.is_disk_full or fault is WriteFault.FULL:
             raise StoreError("database or disk is full")
         if fault is WriteFault.IO:
             raise StoreError("disk I/O error")
 
-    def _check(self, values: dict[str, Any]) -> None:
-        """Judge a write that has changed rows."""
+    def _check_write(self, values: dict[str, Any]) -> None:
+        """Hand a write that has changed rows to the checker."""
         fleet = self.fleet
         if "f_lease" in values:
             fleet.checker.check_write(self.holder, values)
@@ -117,80 +128,83 @@
     """Starts simulated proxies for one agent."""
 
     def __init__(self, fleet: AgentFleet, agent: str) -> None:
-        """``agent``: the holder that starts them."""
+        """Start proxies for ``agent``, the holder of their leases."""
         self.fleet = fleet
         self.agent = agent
 
     async def start(self, instance: Instance) -> SimulatedProxy:
-        """A new process of the instance."""
-        return self.fleet.start(instance.name, self.agent)
+        """Start a new process of the instance and return it."""
+        return self.fleet.start_process(instance.name, self.agent)
 
     async def is_healthy(self, instance: Instance) -> bool:
-        """Whether a process of the instance runs for long enough."""
-        process = self.fleet.alive(instance.name)
-        return process is not None and process.healthy
+        """True if a process of the instance has run for long enough to answer its health check."""
+        process = self.fleet.running_process(instance.name)
+        return process is not None and process.is_ready
 
     async def is_address_free(self, instance: Instance) -> bool:
-        """Whether no process of the instance runs."""
-        return self.fleet.alive(instance.name) is None
+        """True if no process of the instance runs."""
+        return self.fleet.running_process(instance.name) is None
 
     async def counters(self, instance: Instance) -> dict[str, int] | None:
-        """Simulated proxies have no counters."""
+        """Return None, as simulated proxies have no counters."""
         return None
 
 
-class LabStoreAccess(StoreAccess):
-    """Store calls are made at once; those of a frozen agent when it goes on."""
+class SimulatedStoreAccess(StoreAccess):
+    """Executes store calls immediately, or, if the agent is frozen, once it continues."""
 
-    def __init__(self, agent: LabAgent, store: SqlStore) -> None:
-        """``agent``: the one that may freeze at each call."""
+    def __init__(self, agent: SimulatedAgent, store: SqlStore) -> None:
+        """Access ``store`` for ``agent``, which may freeze at each call."""
         super().__init__(store, agent.fleet.clock)
         self._agent = agent
 
     async def call(self, function: Callable[..., T], *arguments: Any) -> T:
-        """The result of ``function``; the agent may freeze before it."""
+        """Return the result of ``function``. The agent may freeze before the call."""
         fleet = self._agent.fleet
         if fleet.rng.random() < fleet.freeze_probability:
-            fleet.freeze(self._agent, fleet.rng.uniform(*FREEZE_MS))
+            fleet.freeze(self._agent, fleet.rng.uniform(*FREEZE_RANGE_MS))
         await self._agent.running.wait()
         return function(*arguments)
 
 
-class LabAgent(Agent):
-    """An agent in virtual time. While ``running`` is cleared it is frozen."""
+class SimulatedAgent(Agent):
+    """An agent in virtual time. It is frozen while the event ``running`` is cleared."""
 
     def __init__(self, fleet: AgentFleet, name: str, incarnation: int) -> None:
-        """An agent of ``fleet``; two with one name must differ in ``incarnation``."""
+        """Create an agent of ``fleet``. Agents with the same name must differ in ``incarnation``."""
         self.fleet = fleet
         self.running = asyncio.Event()
         self.running.set()
         self.connection = FaultyConnection(fleet, fleet.database, f"{name}/{incarnation}")
         self.leases = StoredLeases(
-            name, incarnation, self.connection, fleet.clock.steady_ms, LEASE, random.Random(incarnation)
+            name, incarnation, self.connection, fleet.clock.steady_ms, LEASE_TUNING, random.Random(incarnation)
         )
-        store = SqlStore.__new__(SqlStore)  # its tables are there: creating them would count as reads and writes
+        store = SqlStore.__new__(SqlStore)  # the tables exist; creating them again would count as writes
         store._db = self.connection  # type: ignore[assignment]
         super().__init__(
-            LabStoreAccess(self, store),
+            SimulatedStoreAccess(self, store),
             SimulatedLauncher(fleet, self.leases.holder),
             fleet.clock,
-            StoredAgentLeases(self.leases, fleet.clock.steady_ms, 2.0 * LEASE.lease_ms),
+            StoredAgentLeases(self.leases, fleet.clock.steady_ms, 2.0 * LEASE_TUNING.lease_ms),
             name,
             fleet.timeouts,
         )
         self.reconciliation: asyncio.Task[None] | None = None
 
     @property
-    def waits_for_fault(self) -> bool:
-        """Whether its pass can go on only after a fault has ended."""
+    def is_done_or_frozen(self) -> bool:
+        """True if the agent can do no more in this tick: its pass has ended, or it is frozen."""
         return self.reconciliation is None or self.reconciliation.done() or not self.running.is_set()
 
 
 class AgentFleet:
-    """``size`` instances under ``agents`` agents, each with a home; owns the agents' tasks until :meth:`close`."""
+    """``size`` instances under ``agents`` agents, each instance with a home agent.
+
+    The fleet owns the agents' tasks until :meth:`close`.
+    """
 
     def __init__(self, seed: int, size: int = 6, agents: int = 3) -> None:
-        """One seed, one run. Must be called in an event loop."""
+        """Create the fleet; all random draws come from ``seed``. Must be called in a running event loop."""
         self.rng = random.Random(seed)
         self.clock = ManualClock()
         self.database: Rows = (database := SqliteDatabase(":memory:"))
@@ -199,30 +213,30 @@
         StoredLeases("-", 0, database, self.clock.steady_ms).prepare_table()
         self.processes: list[SimulatedProxy] = []
         self.ignoring_sigterm: set[str] = set()
-        self.taken_ms: dict[tuple[int, str], float] = {}  # by order and instance: when an agent first took the step
+        self.taken_ms: dict[tuple[int, str], float] = {}  # by order and instance: time of the first take
         self.writes = 0
-        self.full = False
+        self.is_disk_full = False
         self.freeze_probability = 0.0
         self.write_faults: dict[int, WriteFault] = {}
-        self.stopping = False
-        short = seed % SHORT_TAKE_TIMEOUT_SEEDS == SHORT_TAKE_TIMEOUT_SEEDS - 1
-        self.timeouts = replace(TIMEOUTS, take_ms=SHORT_TAKE_TIMEOUT_MS) if short else TIMEOUTS
+        self.is_stopping = False
+        is_short = seed % SHORT_TAKE_TIMEOUT_SEEDS == SHORT_TAKE_TIMEOUT_SEEDS - 1
+        self.timeouts = replace(STEP_TIMEOUTS, take_ms=SHORT_TAKE_TIMEOUT_MS) if is_short else STEP_TIMEOUTS
         self.checker = AgentChecker(self)
-        self.agents: dict[str, LabAgent | None] = {}
+        self.agents: dict[str, SimulatedAgent | None] = {}
         for number in range(size):
             name = f"n{number}"
             self.store.add(Instance(name, f"{name}.json", zone=f"z{number % 2}", home=f"a{number % agents}"))
         for number in range(agents):
-            self.boot(f"a{number}")
+            self.boot_agent(f"a{number}")
 
     # Faults ----------------------------------------------------------------------------------------------
 
-    def boot(self, name: str) -> None:
-        """Start an agent, as a new incarnation."""
-        self.agents[name] = LabAgent(self, name, self.rng.getrandbits(40))
+    def boot_agent(self, name: str) -> None:
+        """Start an agent as a new incarnation."""
+        self.agents[name] = SimulatedAgent(self, name, self.rng.getrandbits(40))
 
     def kill_agent(self, name: str) -> None:
-        """End an agent in the middle of whatever it does; its proxies drain."""
+        """Kill an agent in the middle of whatever it does. Its proxies drain."""
         agent = self.agents[name]
         self.agents[name] = None
         if agent is None:
@@ -233,17 +247,17 @@
             if isinstance(supervised.process, SimulatedProxy):
                 supervised.process.drain()
 
-    def freeze(self, agent: LabAgent, duration_ms: float) -> None:
-        """Let an agent stand still at its next store call."""
+    def freeze(self, agent: SimulatedAgent, duration_ms: float) -> None:
+        """Suspend an agent at its next store call, for ``duration_ms`` from now."""
         agent.running.clear()
         self.clock.call_later(duration_ms, agent.running.set)
 
-    def alive(self, instance: str) -> SimulatedProxy | None:
-        """The running process of an instance."""
-        return next((p for p in self.processes if p.instance == instance and p.alive), None)
+    def running_process(self, instance: str) -> SimulatedProxy | None:
+        """Return the running process of an instance, or None."""
+        return next((p for p in self.processes if p.instance == instance and p.is_alive), None)
 
-    def start(self, instance: str, agent: str) -> SimulatedProxy:
-        """A new process of an instance, started by ``agent``."""
+    def start_process(self, instance: str, agent: str) -> SimulatedProxy:
+        """Start a new process of an instance for ``agent`` and return it."""
         self.checker.check_start(instance, agent)
         process = SimulatedProxy(
             self.clock,
@@ -259,7 +273,7 @@
     # Running ---------------------------------------------------------------------------------------------
 
     async def tick(self, ticks: int = 1) -> None:
-        """Advance the clock; each agent begins a pass unless its last one still goes on."""
+        """Advance the clock. Each agent begins a pass unless its last one is still in progress."""
         for _ in range(ticks):
             self.clock.advance(TICK_MS)
             for agent in list(self.agents.values()):
@@ -267,12 +281,12 @@
                     agent.reconciliation = asyncio.create_task(agent.try_reconcile())
             for _ in range(MAX_YIELDS):
                 await asyncio.sleep(0)
-                if all(agent is None or agent.waits_for_fault for agent in self.agents.values()):
+                if all(agent is None or agent.is_done_or_frozen for agent in self.agents.values()):
                     break
             self.checker.check_orders()
 
     async def settle(self, ticks: int = 200) -> bool:
-        """Tick until all that is wanted running is healthy; whether it is, after ``ticks`` at most."""
+        """Tick until every instance that is wanted running is healthy; False if that takes more than ``ticks``."""
         for _ in range(ticks):
             await self.tick()
             if all(i.state == "healthy" for i in self.store.instances() if i.wanted == "running"):
@@ -280,13 +294,13 @@
         return False
 
     def create_order(self, kind: Kind, names: Iterable[str] = (), at_most: int = 2) -> int:
-        """An order over the named instances, or over all; its number."""
+        """Create an order over the named instances, or over all if none is named, and return its number."""
         names = set(names)
         chosen = [i for i in self.store.instances() if not names or i.name in names]
         return self.orders.create(self.clock.now_ms(), kind, "one", chosen, OrderLimits(at_most))
 
     async def run_order(self, number: int, ticks: int = 1200) -> Order:
-        """Tick until the order has ended; the order, as it is after ``ticks`` at most."""
+        """Tick until the order has ended, for at most ``ticks``, and return it as it is then."""
         order = self.orders.get(number)
         for _ in range(ticks):
             order = self.orders.get(number)
@@ -298,7 +312,7 @@
 
     async def close(self) -> None:
         """Cancel and await the agents' passes, and close the store."""
-        self.stopping = True
+        self.is_stopping = True
         tasks = [a.reconciliation for a in self.agents.values() if a is not None and a.reconciliation is not None]
         for task in tasks:
             task.cancel()
--- a/lab/agent_judge.py
+++ b/lab/agent_judge.py
@@ -1,12 +1,13 @@
-"""Judges orders over real proxies by what the proxies' own logs say of each process.
+"""Checks the reports of orders over real proxies against the proxies' own logs.
 
-A proxy writes two lines with its name and process: when it listens, and when it has answered all and ends. That is
-the truth that the lab knows: which processes each instance had, and which of them ended in order. Rules:
+A proxy writes two lines with its name and process: one when it listens, and one when it has answered all requests and
+exits. From these lines the lab knows which processes each instance had and which of them exited cleanly. Rules:
 
-- ``report-untrue``: an instance is called done whose last process did not end in order (unless the report says that
-  nobody saw how), or one is blamed whose process did; or a drained one that still answers;
-- ``not-ended``: an order that has not ended in the time given, many times what it takes;
-- ``unanswered``: a request to a proxy that was not killed, stopped, drained or restarted just then got no answer.
+- ``report-untrue``: an instance is reported as done although its last process did not exit cleanly (unless the report
+  says that nobody saw how it ended), or as failed although its process exited cleanly; or a drained instance still
+  answers;
+- ``not-ended``: an order has not ended in the time given, which is many times what it takes;
+- ``unanswered``: a request got no answer from a proxy that was not killed, stopped, drained or restarted just then.
 """
 
 from __future__ import annotations
@@ -25,19 +26,24 @@
 
 ENDED_PROCESS = re.compile(r"process (\d+) (?:ended|killed)")
 ENDED_BEFORE_SERVING = "ended with -15"
-"""In a step's detail: SIGTERM came before the process had begun to serve, so it has no lines of its own."""
+"""Text in a step's detail: SIGTERM came before the process had begun to serve, so it logged no lines."""
 
 NOT_RUNNING = "was not running"
+"""Text in a step's detail: there was no process to end."""
 
 DAY_S = 86_400.0
-BEFORE_END_S = 2.0
+AFTER_END_S = 2.0
+"""A request may be found unanswered up to this long after a process has logged its end."""
+
 AROUND_END_S = 10.0
-SHOWN_REQUESTS = 3
+"""Length of the whole period in which requests may be found unanswered; most of it is before the logged end."""
+
+MAX_SHOWN_REQUESTS = 3
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class LogLine:
-    """What a proxy logged of itself; ``at`` is the time of day as it stands in the log."""
+    """A line that a proxy logged about its own process; ``at`` is the time of day as written in the log."""
 
     at: str
     instance: str
@@ -46,69 +52,75 @@
 
     @property
     def is_end(self) -> bool:
-        """Whether the process has answered all and ends."""
+        """True if the line says that the process has answered all requests and exits."""
         return self.event != LISTENS
 
 
 @dataclass(frozen=True, slots=True)
 class UnansweredRequest:
-    """A request that got no answer: to which instance, and at which second of the day."""
+    """A request that got no answer: its instance, and the second of the day at which that was known."""
 
     instance: str
     second_of_day: float
 
 
 @dataclass
-class Outcome:
-    """The result of a case; ``violations`` by rule and text.
+class CaseOutcome:
+    """The result of a case. Each violation is a text that begins with the name of the rule.
 
-    ``worst`` is the least fraction of requests served in any second while the order ran; ``rejected`` has the reasons
-    of orders that were rejected.
+    ``min_served_fraction`` is the least fraction of requests served in any second while the orders ran. ``rejected``
+    has the reasons for which orders were rejected. ``answers`` counts the requests by their answer.
     """
 
     orders: list[Order]
     violations: list[str] = field(default_factory=list)
     took_s: float = 0.0
     answers: dict[str, int] = field(default_factory=dict)
-    worst: float = 1.0
+    min_served_fraction: float = 1.0
     rejected: list[str] = field(default_factory=list)
 
 
 def second_of_day(text: str) -> float:
-    """The seconds since midnight of a time as logs have it, such as ``12:00:01,250``."""
+    """Return the seconds since midnight of a time as it is written in logs, such as ``12:00:01,250``."""
     hours, minutes, seconds = text.replace(",", ".").split(":")
     return 3600.0 * int(hours) + 60.0 * int(minutes) + float(seconds)
 
 
-def read_lines(folder: Path, form: re.Pattern[str] = LIFECYCLE_LINE) -> list[LogLine]:
-    """The lines of a form in the logs of all agents, whose proxies write there too, by time of day."""
+def read_lines(folder: Path, pattern: re.Pattern[str] = LIFECYCLE_LINE) -> list[LogLine]:
+    """Return the lines that match ``pattern`` in the logs of all agents, by time of day.
+
+    Proxies write to the log of their agent.
+    """
     found = []
     for path in sorted(folder.glob("a*.log")):
         text = path.read_text(errors="replace")
-        found += [LogLine(m[1], m[2], int(m[3]), m[4]) for m in form.finditer(text)]
+        found += [LogLine(m[1], m[2], int(m[3]), m[4]) for m in pattern.finditer(text)]
     return sorted(found)
 
 
-class Judge:
-    """Adds violations to an outcome. ``answering``: by instance, whether it answers its health check at the end."""
+class OrderReportChecker:
+    """Adds the violations of this module's rules to an outcome."""
+
+    def __init__(self, outcome: CaseOutcome, lines: Sequence[LogLine], answering: Mapping[str, bool]) -> None:
+        """Check ``outcome`` against ``lines``, the lifecycle lines of all proxies.
 
-    def __init__(self, outcome: Outcome, lines: Sequence[LogLine], answering: Mapping[str, bool]) -> None:
-        """``lines`` are the lifecycle lines of all proxies."""
+        ``answering`` tells for each instance whether it answers its health check at the end.
+        """
         self._outcome = outcome
         self._lines = lines
         self._answering = answering
-        self._ended_in_order = {line.pid for line in lines if line.is_end}
+        self._cleanly_ended_pids = {line.pid for line in lines if line.is_end}
 
-    def judge(self, unanswered: Sequence[UnansweredRequest]) -> None:
-        """Judge all orders, and the requests that got no answer."""
+    def check(self, unanswered: Sequence[UnansweredRequest]) -> None:
+        """Check all orders, and the requests that got no answer."""
         for order in self._outcome.orders:
-            self._judge_order(order)
-        self._judge_requests(unanswered)
+            self._check_order(order)
+        self._check_requests(unanswered)
 
     def _violation(self, text: str) -> None:
         self._outcome.violations.append(text)
 
-    def _judge_order(self, order: Order) -> None:
+    def _check_order(self, order: Order) -> None:
         if order.state == "refused":
             self._outcome.rejected.append(order.why)
             return
@@ -118,48 +130,57 @@
         for step in order.steps:
             pids = [x.pid for x in self._lines if x.instance == step.instance and not x.is_end]
             named = [int(pid) for pid in ENDED_PROCESS.findall(step.detail)]
-            self._judge_named(order, step, pids, named)
+            self._check_named_processes(order, step, pids, named)
             if order.kind == "drain" and is_last and step.state == "done":
-                self._judge_drained(order, step, pids, named)
+                self._check_drained(order, step, pids, named)
             if order.kind == "restart" and step.state == "done" and len(set(pids)) < 2:
-                self._violation(f"report-untrue: {order}: {step.instance} is said to be restarted, and had {pids}")
+                self._violation(
+                    f"report-untrue: {order}: {step.instance} is reported as restarted, but its processes were {pids}"
+                )
 
-    def _judge_named(self, order: Order, step: Step, pids: list[int], named: list[int]) -> None:
-        """The processes that a step's detail names must be the instance's, and have ended as it says."""
-        blamed = step.state == "died"
+    def _check_named_processes(self, order: Order, step: Step, pids: list[int], named: list[int]) -> None:
+        """Check that the processes named in a step's detail belong to the instance and ended as it says."""
+        is_blamed = step.state == "died"
         for pid in named:
-            in_order = pid in self._ended_in_order
+            ended_cleanly = pid in self._cleanly_ended_pids
             if pid not in pids:
                 if ENDED_BEFORE_SERVING not in step.detail:
-                    self._violation(f"report-untrue: {order}: {step.instance} {step.detail}: it had {pids}")
-            elif in_order is blamed:
-                how = "ended in order" if in_order else "did not end in order"
+                    self._violation(
+                        f"report-untrue: {order}: {step.instance} {step.detail}, but its processes were {pids}"
+                    )
+            elif ended_cleanly is is_blamed:
+                how = "exited cleanly" if ended_cleanly else "did not exit cleanly"
                 self._violation(
                     f"report-untrue: {order}: {step.instance} {step.state}, {step.detail}, but process {pid} {how}"
                 )
 
-    def _judge_drained(self, order: Order, step: Step, pids: list[int], named: list[int]) -> None:
-        """An instance that is said to be drained does not answer, and its last process has ended in order."""
+    def _check_drained(self, order: Order, step: Step, pids: list[int], named: list[int]) -> None:
+        """Check that an instance reported as drained does not answer and that its last process exited cleanly."""
         if self._answering[step.instance]:
-            self._violation(f"report-untrue: {order}: {step.instance} is done and answers")
-        unseen = UNSEEN in step.detail or NOT_RUNNING in step.detail
-        # The process that the step ended may never have served: then the last that did is an earlier one.
-        never_served = ENDED_BEFORE_SERVING in step.detail and bool(named) and named[-1] not in pids
-        if pids and pids[-1] not in self._ended_in_order and not unseen and not never_served:
-            self._violation(f"report-untrue: {order}: {step.instance} is done, but {pids[-1]} did not end in order")
-
-    def _judge_requests(self, unanswered: Sequence[UnansweredRequest]) -> None:
-        """A proxy that ends closes its address on connections that it has not accepted: clients go elsewhere."""
+            self._violation(f"report-untrue: {order}: {step.instance} is reported as drained, but answers")
+        is_unseen = UNSEEN in step.detail or NOT_RUNNING in step.detail
+        # If the process that the step ended has never served, the last process in the log is an earlier one.
+        has_never_served = ENDED_BEFORE_SERVING in step.detail and bool(named) and named[-1] not in pids
+        if pids and pids[-1] not in self._cleanly_ended_pids and not is_unseen and not has_never_served:
+            self._violation(
+                f"report-untrue: {order}: {step.instance} is done, but process {pids[-1]} did not exit cleanly"
+            )
+
+    def _check_requests(self, unanswered: Sequence[UnansweredRequest]) -> None:
+        """Report unanswered requests to proxies that were not just ending.
+
+        A proxy that exits drops the connections that it has not accepted yet, and their clients go to another proxy.
+        """
         ends = [(line.instance, second_of_day(line.at)) for line in self._lines if line.is_end]
         lost = [
             (request.instance, request.second_of_day)
             for request in unanswered
             if not any(
-                request.instance == instance and (end - request.second_of_day + BEFORE_END_S) % DAY_S <= AROUND_END_S
+                request.instance == instance and (end - request.second_of_day + AFTER_END_S) % DAY_S <= AROUND_END_S
                 for instance, end in ends
             )
         ]
         if lost:
             self._violation(
-                f"unanswered: {len(lost)} requests to proxies that nothing was done to: {lost[:SHOWN_REQUESTS]}"
+                f"unanswered: {len(lost)} requests to proxies without a fault or an end: {lost[:MAX_SHOWN_REQUESTS]}"
             )
--- a/lab/budget_checker.py
+++ b/lab/budget_checker.py
@@ -1,4 +1,4 @@
-"""Checks what is felt of a fleet-wide limit, by true time, against the limit."""
+"""Checks the actual use of a fleet-wide limit, by true time, against the limit."""
 
 from __future__ import annotations
 
@@ -9,20 +9,23 @@
 from lab.check import MOST_KEPT, Violation
 
 TOLERANCE = 1e-6  # relative and absolute: sums of floats are rounded
-RATE_WINDOW_MS = 1000.0  # a rate's use is shown over this
+RATE_WINDOW_MS = 1000.0  # the use of a rate is stated over this period
 
 
 def settled_ms(limit: FleetLimit) -> float:
-    """How long after the last proxy has read of a smaller limit nothing above it is felt any more."""
+    """Return the time (ms) from the last proxy's reading of a smaller limit until no use can exceed it."""
     granted_ms = (limit.grant_ms + limit.occupancy_ms()) * (1.0 + limit.drift)
     return granted_ms + limit.travel_ms + limit.loan_ms()
 
 
 @dataclass
 class BudgetChecker:
-    """Feed it what is spent and what ends, by rising time; its rules are ``over-window``, ``over-flight`` and
-    ``over-rate``. ``bound`` is the amount that holds now; it may be set. ``max_used``: the most that was occupied at
-    once (a rate: the most out of its bucket). A rate has a slack for travel: spendings that bunch by it.
+    """Checks the uses of one limit, which must be passed to it in order of time.
+
+    Its rules are ``over-window``, ``over-flight`` and ``over-rate``. ``bound`` is the amount that is allowed now; the
+    caller may change it. ``max_used`` is the most that was in use at once, or for a rate the most that was taken out
+    of its bucket. A rate is allowed some more for the travel time, as uses may arrive closer together than they were
+    sent.
     """
 
     limit: FleetLimit
@@ -31,7 +34,7 @@
     max_used: float = 0.0
 
     def __post_init__(self) -> None:
-        """Nothing is occupied yet; a rate's bucket is full."""
+        """Begin with nothing in use and, for a rate, with a full bucket."""
         self.bound = self.limit.amount
         self._window: deque[tuple[float, float]] = deque()  # when, cost
         self._used = 0.0
@@ -39,11 +42,11 @@
         self._level_at_ms = 0.0
 
     def bucket_size(self) -> float:
-        """A rate's bucket: its burst, and what may bunch on the way."""
+        """Return the size of a rate's bucket: its burst, and what may arrive together because of the travel time."""
         return self.limit.burst + self.bound * self.limit.travel_ms / 1000.0
 
     def used(self, t: float) -> float:
-        """What is occupied at ``t`` (ms); a rate: spendings of the last second."""
+        """Return the amount in use at ``t`` (ms); for a rate, what was spent in the last second."""
         if self.limit.kind != "flight":
             length_ms = self.limit.tail_ms if self.limit.kind == "window" else RATE_WINDOW_MS
             while self._window and t - self._window[0][0] >= length_ms:
@@ -51,11 +54,11 @@
         return self._used
 
     def max_used_fraction(self) -> float:
-        """The most that was occupied at once, as a fraction of the limit that holds now."""
+        """Return the most that was in use at once, as a fraction of the limit that is allowed now."""
         return self.max_used / (self.bucket_size() if self.limit.kind == "rate" else self.bound)
 
     def spend(self, t: float, member: str, cost: float = 1.0) -> None:
-        """``cost`` of ``member`` is felt at ``t`` (ms)."""
+        """Count a use of ``cost`` by ``member``, which takes effect at ``t`` (ms)."""
         self.spent += cost
         self._used += cost
         if self.limit.kind != "flight":
@@ -71,8 +74,10 @@
         self.max_used = max(self.max_used, used)
         if used > bound * (1 + TOLERANCE) + TOLERANCE and len(self.violations) < MOST_KEPT:
             rule = f"over-{self.limit.kind}"
-            self.violations.append(Violation(rule, t, f"{member} makes it {used:.2f} of {bound:g}"))
+            self.violations.append(
+                Violation(rule, t, f"{member} raises the use to {used:.2f}, above the limit of {bound:g}")
+            )
 
     def release(self) -> None:
-        """One that was in flight has ended."""
+        """Count the end of one attempt that was in flight."""
         self._used -= 1.0
--- a/lab/budget_faults.py
+++ b/lab/budget_faults.py
@@ -1,4 +1,4 @@
-"""Faults injected into the budgets, each a method that is replaced; registered when the module is imported."""
+"""Faults that can be injected into the budget code. Each replaces a method; importing this module registers them."""
 
 from __future__ import annotations
 
@@ -16,10 +16,12 @@
 GROUP = "budgets"
 Method = Callable[..., Any]
 SUSPECTED_AFTER_MS = 600.0
-HIGHEST_ROUND = 1 << 52
+HIGHEST_ROUND = 1 << 52  # above that of any leader in a run
 
 
 def _new_allocator_does_not_wait(original: Method) -> Method:
+    """A new allocator grants at once, though grants of an earlier one may still be valid."""
+
     def init(self: Allocator, limit: FleetLimit, token: int, now_ms: float) -> None:
         original(self, limit, token, now_ms)
         self.settled_from_ms = now_ms
@@ -28,7 +30,7 @@
 
 
 def _granted_again_on_suspicion(original: Method) -> Method:
-    """What was given to one not heard of for a while is given again."""
+    """The allocator grants the amount of a member again that it has not heard from for a while."""
 
     def expire(self: Allocator, now_ms: float) -> None:
         for name, demand in list(self._demands.items()):
@@ -40,12 +42,12 @@
 
 
 def _spendings_not_held_back(original: Method) -> Method:
-    """What was spent of a grant is not held back once the grant has ended."""
+    """The allocator does not reserve what was spent of a grant beyond the end of the grant."""
     return lambda self: self.limit.grant_ms * (1.0 + self.limit.drift)
 
 
 def _loan_from_arrival(original: Method) -> Method:
-    """A loan counts from when the allocator hears of it, however late that is, and whatever the lender goes by."""
+    """A loan counts from when the allocator hears of it, however late that is, and not by the lender's time."""
 
     def record_loan(self: Allocator, now_ms: float, member: str, incarnation: int, request: QuotaRequest) -> None:
         if request.lent:
@@ -55,7 +57,7 @@
 
 
 def _grant_runs_from_answer(original: Method) -> Method:
-    """The time of a grant runs from its answer."""
+    """The time of a grant runs from the response instead of the request."""
 
     def accept_grant(self: Quota, now_ms: float, seq: int, amount: float) -> Any:
         if seq in self._requested_ms:
@@ -66,6 +68,8 @@
 
 
 def _restart_spends_at_once(original: Method) -> Method:
+    """A restarted member uses its floor at once, instead of waiting until its earlier uses have ended."""
+
     def init(
         self: Quota, limit: FleetLimit, now_ms: float, floor: float, usable_from_ms: float | None = None
     ) -> None:
@@ -75,7 +79,7 @@
 
 
 def _restart_forgets_loans(original: Method) -> Method:
-    """Who starts again takes its whole floor, whatever its earlier incarnation has lent."""
+    """A restarted member uses its whole floor, whatever its earlier incarnation has lent."""
 
     def init(
         self: Quota, limit: FleetLimit, now_ms: float, floor: float, usable_from_ms: float | None = None
@@ -87,7 +91,7 @@
 
 
 def _floors_of_all_at_once(original: Method) -> Method:
-    """Floors of those that are new, too, while the others may not have heard."""
+    """New members have floors at once, while the others may not have heard of the new declared set."""
 
     def floor(self: FleetLimit, members: int, members_before: int = 0, number: int = 0) -> Any:
         return original(self, members)
@@ -96,7 +100,7 @@
 
 
 def _floors_of_the_living(original: Method) -> Method:
-    """The floors are divided among those that seem alive: two fewer than are declared."""
+    """The floors are divided among the members that seem alive, here two fewer than are declared."""
 
     def floor(self: FleetLimit, members: int, members_before: int = 0, number: int = 0) -> Any:
         return original(self, max(1, members - 2), max(0, members_before - 2), number)
@@ -105,11 +109,13 @@
 
 
 def _excess_not_counted(original: Method) -> Method:
-    """Who goes by a smaller grant says that it occupies no more."""
+    """A member with a smaller grant reports that it uses no more than that."""
     return lambda self, now_ms: 0.0
 
 
 def _grant_brings_tokens(original: Method) -> Method:
+    """A grant adds tokens to the bucket of a rate."""
+
     def accept_grant(self: Quota, now_ms: float, seq: int, amount: float) -> Any:
         accepted = original(self, now_ms, seq, amount)
         if accepted:
@@ -120,7 +126,7 @@
 
 
 def _late_write_not_confirmed(original: Method) -> Method:
-    """What was checked before a suspension counts from the check."""
+    """A use that was checked before a suspension and is written after it counts from the check."""
 
     def confirm(self: Quota, now_ms: float) -> None:
         self._unconfirmed.clear()
@@ -130,17 +136,17 @@
 
 
 def _limit_for_each(original: Method) -> Method:
-    """Each takes the whole limit for itself."""
+    """Each member uses the whole fleet-wide limit by itself."""
     return lambda self, now_ms: self.limit.amount
 
 
 def _lent_is_spent(original: Method) -> Method:
-    """What is lent is spent all the same."""
+    """A member goes on using the amount that it has lent."""
     return lambda self, now_ms: 0.0
 
 
-def _any_ballot(original: Method) -> Method:
-    """A new leader believes what was requested of an earlier one."""
+def _earlier_ballot_accepted(original: Method) -> Method:
+    """A new leader accepts requests that were meant for an earlier one."""
 
     def allocate(self: AllocationLeader, now_ms: float, sender: str, request: AllocationRequest) -> Any:
         return original(self, now_ms, sender, dataclasses.replace(request, round=HIGHEST_ROUND))
@@ -159,7 +165,7 @@
 register_replacement(
     "given-again-on-suspicion",
     GROUP,
-    "what a silent member was granted is granted again",
+    "the grant of a silent member is granted again",
     Allocator,
     "_expire",
     _granted_again_on_suspicion,
@@ -183,7 +189,7 @@
 register_replacement(
     "floors-of-all-at-once",
     GROUP,
-    "floors of new members count before the others may have heard",
+    "floors of new members count before the others may have heard of them",
     FleetLimit,
     "floor",
     _floors_of_all_at_once,
@@ -199,7 +205,7 @@
 register_replacement(
     "spendings-not-held-back",
     GROUP,
-    "what was spent of a grant is free again when the grant ends",
+    "the spent part of a grant is free again when the grant ends",
     Allocator,
     "_reservation_ms",
     _spendings_not_held_back,
@@ -218,7 +224,7 @@
 register_replacement(
     "no-stamp",
     GROUP,
-    "a check before a pause still counts from the check",
+    "a use that was checked before a pause still counts from the check",
     Quota,
     "confirm",
     _late_write_not_confirmed,
@@ -235,7 +241,7 @@
     _loan_from_arrival,
 )
 register_replacement(
-    "lends-and-spends", GROUP, "a member lends what it goes on spending", Quota, "lent", _lent_is_spent
+    "lends-and-spends", GROUP, "a member goes on spending the amount that it has lent", Quota, "lent", _lent_is_spent
 )
 register_replacement(
     "restart-forgets-loans",
@@ -248,8 +254,8 @@
 register_replacement(
     "any-ballot",
     GROUP,
-    "a new leader believes requests meant for an earlier one",
+    "a new leader accepts requests meant for an earlier one",
     AllocationLeader,
     "allocate",
-    _any_ballot,
+    _earlier_ballot_accepted,
 )
--- a/lab/budget_trials.py
+++ b/lab/budget_trials.py
@@ -1,4 +1,4 @@
-"""Single runs of :class:`lab.virtual_budgets.BudgetFleet`, with or without an injected fault, and their outcome."""
+"""Single runs of :class:`lab.virtual_budgets.BudgetFleet`, with or without an injected fault."""
 
 from __future__ import annotations
 
@@ -11,8 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetOutcome:
-    """One run: its steps, the most of each limit occupied at once (as a fraction of it), and a line for each
-    violation of the lease checker's and the budget checkers' rules."""
+    """The result of one run.
+
+    ``max_used`` has the most of each limit that was in use at once, as a fraction of the limit. ``violations`` has a
+    line for each violation of the lease checker's and the budget checkers' rules.
+    """
 
     steps: int
     max_used: dict[str, float]
@@ -20,7 +23,10 @@
 
 
 def run_trial(seed: int, fault: str = "") -> BudgetOutcome:
-    """Run ``seed`` with the injected fault of that name; "" for none. UnknownFaultError if there is none of it."""
+    """Run ``seed`` with the injected fault named ``fault``, or without one if the name is empty.
+
+    Raises UnknownFaultError if there is no fault of that name.
+    """
     with inject(fault):
         fleet = BudgetFleet(seed)
         leases = fleet.run()
--- a/lab/model_checks.py
+++ b/lab/model_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a run against what its backends met: the limits of budgets, and the rules of region failover."""
+"""Checks budgets and region failover in a run of processes, by the requests that its backends received."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from lab.spending import check_spending
 from lab.testbed import Testbed
 
-SETTLED_MS = 1500.0  # after the start: all know the list, and no proxy is in its first moments
-PUBLISHED_MS = 300.0  # by then every proxy has what was written to the change log or its file
-BEFORE_FAULT_MS = 200.0  # requests so shortly before the first fault may be met after it
-DRIFT = 0.01  # of the proxies' clocks at most
-DEFAULT_MOST_OUT = 0.5
+STARTUP_MS = 1500.0  # after the start; by then all proxies know the endpoint list and none is just starting
+PUBLICATION_MS = 300.0  # by then every proxy has read a change to the change log or its file
+FAULT_MARGIN_MS = 200.0  # requests sent so shortly before the first fault may be received after it
+MAX_CLOCK_DRIFT = 0.01  # upper bound for the drift of the proxies' clocks, as a fraction
+DEFAULT_MAX_OUT_FRACTION = 0.5
 
 
 @dataclass
 class RegionFindings:
-    """Violations, and how many orders, changeovers and regions out at once there were."""
+    """Violations, and the numbers of orders, of changeovers and of regions that were out at once."""
 
     violations: list[Violation] = field(default_factory=list)
     counts: dict[str, int] = field(default_factory=dict)
@@ -36,7 +36,7 @@
 
 @dataclass
 class BudgetFindings:
-    """Violations, and by budget the most in use at once, as a part of it."""
+    """Violations, and for each budget the most that was in use at once, as a fraction of the budget."""
 
     violations: list[Violation] = field(default_factory=list)
     used: dict[str, float] = field(default_factory=dict)
@@ -45,23 +45,26 @@
 def check_regions(
     testbed: Testbed, events: list[dict[str, Any]], began_ms: float, first_fault_ms: float
 ) -> RegionFindings:
-    """Orders and changeovers in the proxies' histories; nothing if the scenario has no regions."""
+    """Check the orders and changeovers in the proxies' histories.
+
+    The findings are empty if regions are not enabled in the scenario.
+    """
     table = testbed.scenario.tables.get("regions", {})
     if not table.get("enabled"):
         return RegionFindings()
-    most_out = float(table.get("most_out", DEFAULT_MOST_OUT))
-    checker = RegionChecker(testbed.scenario.members, _region_sizes(testbed), most_out)
-    checker.play(sorted(events, key=lambda event: event["t"]))
-    split = _split_fills(testbed, began_ms + SETTLED_MS, first_fault_ms - BEFORE_FAULT_MS)
-    if split:
-        text = f"fills of {split[:3]} met at two places before any fault"
+    max_out_fraction = float(table.get("most_out", DEFAULT_MAX_OUT_FRACTION))
+    checker = RegionChecker(testbed.scenario.members, _region_sizes(testbed), max_out_fraction)
+    checker.check_history(sorted(events, key=lambda event: event["t"]))
+    doubly_filled = _doubly_filled_objects(testbed, began_ms + STARTUP_MS, first_fault_ms - FAULT_MARGIN_MS)
+    if doubly_filled:
+        text = f"fills of {doubly_filled[:3]} went to two sources before any fault"
         checker.violations.append(Violation("met-twice", first_fault_ms, text))
     counts = {"orders": checker.orders, "changeovers": checker.changeovers, "away": checker.max_away}
     return RegionFindings(checker.violations, counts)
 
 
 def _region_sizes(testbed: Testbed) -> dict[str, int]:
-    """By region, how many backends it has."""
+    """Return the number of backends by region."""
     plan = Plan(BudgetsConfig(1, 1, 1, 1, 0, {}), read_settings(testbed.settings(0)))
     sizes: dict[str, int] = {}
     for backend in testbed.backends:
@@ -72,8 +75,8 @@
     return sizes
 
 
-def _split_fills(testbed: Testbed, after_ms: float, before_ms: float) -> list[str]:
-    """The objects that were filled from several sources between two times."""
+def _doubly_filled_objects(testbed: Testbed, after_ms: float, before_ms: float) -> list[str]:
+    """Return the objects that were filled from several sources between two times (ms)."""
     sources: dict[str, set[str]] = {}
     for backend in testbed.backends:
         for met in backend.met if isinstance(backend, BusyBackend) else ():
@@ -83,16 +86,20 @@
 
 
 def check_budgets(testbed: Testbed) -> BudgetFindings:
-    """What the backends met of each budget, where there are any; violations only where budgets are enabled."""
+    """Check the use of each budget by the requests that the backends received.
+
+    Violations are reported only if budgets are enabled in the scenario; the use is also measured without them. The
+    findings are empty if the scenario has no budgets or no backend that records its requests.
+    """
     table = testbed.scenario.tables.get("budgets", {})
     backends = [backend for backend in testbed.backends if isinstance(backend, BusyBackend)]
     if not table or not backends:
         return BudgetFindings()
-    day_ms = time.time() * 1000.0 - steady_ms()
+    day_offset_ms = time.time() * 1000.0 - steady_ms()
     plan = Plan(_budgets_config(table), read_settings(testbed.settings(0)))
     plan.follow(backend.entry(started_ms=backend.started_ms) for backend in backends)
-    bounds = _changed_bounds(testbed, plan, day_ms)
-    violations, used = check_spending(backends, plan, day_ms, bounds, PUBLISHED_MS)
+    bounds = _changed_bounds(testbed, plan, day_offset_ms)
+    violations, used = check_spending(backends, plan, day_offset_ms, bounds, PUBLICATION_MS)
     return BudgetFindings(violations if table.get("enabled") else [], used)
 
 
@@ -102,23 +109,23 @@
         float(table.get("floor_share", 0.25)),
         float(table.get("travel_ms", 100)),
         float(table.get("mean_ms", 100)),
-        DRIFT,
+        MAX_CLOCK_DRIFT,
         {key: float(table.get(key, 0.0)) for key in AMOUNTS},
     )
 
 
-def _changed_bounds(testbed: Testbed, plan: Plan, day_ms: float) -> dict[str, list[tuple[float, float]]]:
-    """By budget: from when (ms) the amount holds that a change of the files gave it."""
+def _changed_bounds(testbed: Testbed, plan: Plan, day_offset_ms: float) -> dict[str, list[tuple[float, float]]]:
+    """Return, by budget, the amount after a change of the files and the time (ms) from which it is checked."""
     change = testbed.budget_change
     if change is None:
         return {}
     amounts = dict(plan.config.amounts) | dict(change.amounts)
     changed = Plan(dataclasses.replace(plan.config, amounts=amounts), plan.settings)
     changed.follow(plan.backends.values())
-    originals = {budget.name: budget for budget in plan.limits(day_ms)}
+    originals = {budget.name: budget for budget in plan.limits(day_offset_ms)}
     bounds: dict[str, list[tuple[float, float]]] = {}
-    for budget in changed.limits(day_ms):
+    for budget in changed.limits(day_offset_ms):
         original = originals.get(budget.name, budget)
-        wait_ms = settled_ms(original) + PUBLISHED_MS if budget.amount < original.amount else -1.0
+        wait_ms = settled_ms(original) + PUBLICATION_MS if budget.amount < original.amount else -1.0
         bounds[budget.name] = [(change.at_ms + wait_ms, budget.amount)]
     return bounds
--- a/lab/order_faults.py
+++ b/lab/order_faults.py
@@ -1,4 +1,4 @@
-"""Injected faults of agents and orders; see :mod:`lab.injected_faults`."""
+"""Faults that can be injected into agents and orders; see :mod:`lab.injected_faults`."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from lab.injected_faults import register_replacement
 
 
-def _unfenced(fenced: Callable[..., Any]) -> Callable[..., Any]:
-    """Any write goes through, whoever holds the lease; its name stays in the values, for the checker."""
+def _fence_ignored(fenced: Callable[..., Any]) -> Callable[..., Any]:
+    """Any write succeeds, whoever holds the lease. The lease's name stays in the values for the checker."""
 
     def clause(fence: Fence | None) -> tuple[str, dict[str, Any]]:
         where, values = fenced(fence)
@@ -28,7 +28,7 @@
 
 
 def _acts_unrecorded(take: Callable[..., bool]) -> Callable[..., bool]:
-    """A step is executed though taking it could not be recorded."""
+    """An agent executes a step though recording that it took the step has failed."""
 
     def take_unrecorded(self: OrderStore, step: Step, holder: str, fence: Fence | None) -> bool:
         try:
@@ -40,7 +40,7 @@
 
 
 def _starts_unrecorded(report: Callable[..., bool]) -> Callable[..., bool]:
-    """A start goes on though writing it to the store has failed."""
+    """An agent starts a proxy though writing the start to the store has failed."""
 
     def report_unwritten(self: SqlStore, name: str, state: Any, *given: Any) -> bool:
         try:
@@ -51,13 +51,13 @@
     return report_unwritten
 
 
-def _any_end(orderly: Any) -> Any:
-    """Every exit counts as an orderly one."""
+def _every_exit_orderly(orderly: Any) -> Any:
+    """Every exit of a proxy counts as a clean one."""
     return property(lambda self: True)
 
 
-def _no_look(drain: Callable[..., Any]) -> Callable[..., Any]:
-    """An agent without a process of an instance takes it for stopped."""
+def _missing_process_is_stopped(drain: Callable[..., Any]) -> Callable[..., Any]:
+    """An agent that has no process of an instance assumes that the instance is stopped."""
 
     def drain_unseen(self: StepRun, view: InstanceView) -> Any:
         self._foreign_process_seen = False
@@ -66,8 +66,8 @@
     return drain_unseen
 
 
-def _withdraws(set_step: Callable[..., bool]) -> Callable[..., bool]:
-    """The runner withdraws a step though an agent has taken it since it was read."""
+def _taken_step_withdrawn(set_step: Callable[..., bool]) -> Callable[..., bool]:
+    """The order runner withdraws a step though an agent has taken it since the runner read it."""
 
     def set_current_step(self: OrderStore, step: Step, state: Any, detail: str, fence: Fence | None) -> bool:
         if state == "not reached":
@@ -79,8 +79,8 @@
     return set_current_step
 
 
-def _asks_all(next_steps: Any) -> Any:
-    """A new runner does not count the steps in progress."""
+def _steps_in_progress_not_counted(next_steps: Any) -> Any:
+    """A new order runner does not count the steps that are in progress already."""
 
     def next_uncounted(order: Order, steps: Iterable[Step]) -> list[Step]:
         chosen: list[Step] = next_steps(order, [step for step in steps if step.state == "waiting"])
@@ -89,8 +89,8 @@
     return staticmethod(next_uncounted)
 
 
-def _starts_beside(is_address_free: Any) -> Any:
-    """Every address counts as free."""
+def _address_always_free(is_address_free: Any) -> Any:
+    """The address of every instance counts as free."""
 
     async def always(self: SimulatedLauncher, instance: Instance) -> bool:
         return True
@@ -99,20 +99,20 @@
 
 
 register_replacement(
-    "store-unfenced", "orders", "the store takes any write, whoever holds the lease", sql, "fenced", _unfenced
+    "store-unfenced", "orders", "the store accepts any write, whoever holds the lease", sql, "fenced", _fence_ignored
 )
 register_replacement(
     "orders-unfenced",
     "orders",
-    "the order rows take any write, whoever holds the lease",
+    "the order rows accept any write, whoever holds the lease",
     order_store,
     "fenced",
-    _unfenced,
+    _fence_ignored,
 )
 register_replacement(
     "acts-unrecorded",
     "orders",
-    "an agent acts on a step though recording it has failed",
+    "an agent executes a step though recording it has failed",
     OrderStore,
     "take",
     _acts_unrecorded,
@@ -126,31 +126,36 @@
     _starts_unrecorded,
 )
 register_replacement(
-    "any-end-is-drained", "orders", "every exit of a proxy counts as an orderly one", ProcessExit, "orderly", _any_end
+    "any-end-is-drained",
+    "orders",
+    "every exit of a proxy counts as a clean one",
+    ProcessExit,
+    "orderly",
+    _every_exit_orderly,
 )
 register_replacement(
     "not-mine-not-running",
     "orders",
-    "an agent without a process of an instance takes it for stopped",
+    "an agent that has no process of an instance assumes that it is stopped",
     StepRun,
     "_drain",
-    _no_look,
+    _missing_process_is_stopped,
 )
 register_replacement(
     "withdraws-what-is-taken",
     "orders",
-    "the runner withdraws steps that an agent has taken since it read them",
+    "the order runner withdraws steps that an agent has taken since they were read",
     OrderStore,
     "set_step",
-    _withdraws,
+    _taken_step_withdrawn,
 )
 register_replacement(
     "asks-without-counting",
     "orders",
-    "a new runner does not count the steps that the one before asked for",
+    "a new order runner does not count the steps that the previous one requested",
     OrderRunner,
     "_next_steps",
-    _asks_all,
+    _steps_in_progress_not_counted,
 )
 register_replacement(
     "starts-beside-another",
@@ -158,5 +163,5 @@
     "an agent starts a proxy though the instance's address is in use",
     SimulatedLauncher,
     "is_address_free",
-    _starts_beside,
+    _address_always_free,
 )
--- a/lab/region_faults.py
+++ b/lab/region_faults.py
@@ -1,4 +1,4 @@
-"""Faults injected into the region code, each a method that is replaced; registered when the module is imported."""
+"""Faults that can be injected into the region code. Each replaces a method; importing this module registers them."""
 
 from __future__ import annotations
 
@@ -18,82 +18,82 @@
 GROUP = "regions"
 
 
-def _any_order(apply_order: Method) -> Method:
-    """A proxy applies an order that it receives late, though it has applied a newer one."""
+def _older_order_applied(apply_order: Method) -> Method:
+    """A proxy applies an order that arrives late, though it has already applied a newer one."""
 
-    def broken(self: AppliedOrder, now_ms: float, order: CoordinatorOrder) -> Any:
+    def replacement(self: AppliedOrder, now_ms: float, order: CoordinatorOrder) -> Any:
         if (order.token, order.epoch) != self.version:
             self.token = 0
             self.epoch = 0
         return apply_order(self, now_ms, order)
 
-    return broken
+    return replacement
 
 
-def _no_guard(may_leave: Method) -> Method:
-    """Any region may leave, whatever is out."""
+def _guard_ignored(may_leave: Method) -> Method:
+    """Any region may be taken out, however many are out already."""
     return lambda self, region, sizes, changes=None: True
 
 
-def _all_may_leave(init: Method) -> Method:
-    """The fraction of backends that may be out is taken as 1."""
+def _all_regions_may_be_out(init: Method) -> Method:
+    """The fraction of backends that may be out is 1, whatever the settings say."""
 
-    def broken(self: RegionCoordinator, tuning: CoordinatorTuning, table: Any, now_ms: float) -> None:
+    def replacement(self: RegionCoordinator, tuning: CoordinatorTuning, table: Any, now_ms: float) -> None:
         init(self, dataclasses.replace(tuning, max_out_fraction=1.0), table, now_ms)
 
-    return broken
+    return replacement
 
 
-def _no_recovery(coordinate: Method) -> Method:
+def _newest_order_not_requested(coordinate: Method) -> Method:
     """A new coordinator does not ask for the newest order."""
 
-    def broken(self: RegionNode, now_ms: float) -> Any:
+    def replacement(self: RegionNode, now_ms: float) -> Any:
         token = self._leases.held(LEASE, now_ms)
         if token is not None and token != self._tenure_token:
             self._tenure_token = token
             self._coordinator = RegionCoordinator(self.tuning, self.order.table(), now_ms)
         return coordinate(self, now_ms)
 
-    return broken
+    return replacement
 
 
-def _no_acknowledgement(acknowledged: Method) -> Method:
+def _acknowledgements_not_awaited(acknowledged: Method) -> Method:
     """The next order does not wait until a majority has applied the last one."""
     return lambda self, reports: True
 
 
-class _EternalLease:
-    """A view of the leases by which this proxy holds each of them for ever."""
+class _LeaseHeldForever:
+    """A view of the leases by which this proxy holds each of them forever."""
 
     def __init__(self, leases: Any, token: int) -> None:
-        """Hold under ``token``; other members' leases are as in ``leases``."""
+        """Hold each lease under ``token``; ``leases`` are the true ones."""
         self._leases = leases
         self._token = token
 
     def held(self, name: str, now_ms: float) -> int:
-        """The token, whatever the time."""
+        """Return the token, whatever the time."""
         return self._token
 
     def holder(self, name: str, now_ms: float) -> str:
-        """The true holder."""
+        """Return the true holder."""
         holder: str = self._leases.holder(name, now_ms)
         return holder
 
 
 def _lease_ignored(tick: Method) -> Method:
-    """A member that was the coordinator once goes on as if it still were."""
+    """A former coordinator continues as if it still held the lease."""
 
-    def broken(self: RegionNode, now_ms: float) -> Any:
+    def replacement(self: RegionNode, now_ms: float) -> Any:
         leases = self._leases
         token = self._tenure_token
         if self._coordinator is None or not token or leases.held(LEASE, now_ms) is not None:
             return tick(self, now_ms)
-        self._leases = _EternalLease(leases, token)
+        self._leases = _LeaseHeldForever(leases, token)
         outgoing = tick(self, now_ms)
         self._leases = leases
         return outgoing
 
-    return broken
+    return replacement
 
 
 register_replacement(
@@ -102,13 +102,18 @@
     "a proxy applies an older order that arrives late",
     AppliedOrder,
     "apply",
-    _any_order,
+    _older_order_applied,
 )
 register_replacement(
-    "guard-of-all", GROUP, "all regions may be out at once", RegionCoordinator, "__init__", _all_may_leave
+    "guard-of-all", GROUP, "all regions may be out at once", RegionCoordinator, "__init__", _all_regions_may_be_out
 )
 register_replacement(
-    "no-region-guard", GROUP, "a region may leave whatever is out", RegionCoordinator, "may_leave", _no_guard
+    "no-region-guard",
+    GROUP,
+    "a region may be taken out however many are out already",
+    RegionCoordinator,
+    "may_leave",
+    _guard_ignored,
 )
 register_replacement(
     "starts-from-nothing",
@@ -116,10 +121,10 @@
     "a new coordinator does not ask for the newest order",
     RegionNode,
     "_coordinate",
-    _no_recovery,
+    _newest_order_not_requested,
 )
 register_replacement(
-    "orders-unheld", GROUP, "a former coordinator goes on making orders", RegionNode, "tick", _lease_ignored
+    "orders-unheld", GROUP, "a former coordinator continues to make orders", RegionNode, "tick", _lease_ignored
 )
 register_replacement(
     "orders-unacknowledged",
@@ -127,5 +132,5 @@
     "the next order does not wait for acknowledgements of the last",
     RegionNode,
     "_acknowledged",
-    _no_acknowledgement,
+    _acknowledgements_not_awaited,
 )
--- a/lab/region_trials.py
+++ b/lab/region_trials.py
@@ -1,4 +1,4 @@
-"""Single runs of :class:`lab.virtual_regions.RegionFleet`, with or without an injected fault, and their outcome."""
+"""Single runs of :class:`lab.virtual_regions.RegionFleet`, with or without an injected fault."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionOutcome:
-    """Counts of one run, and a line for each violation of the lease checker's and the region checker's rules."""
+    """The result of one run.
+
+    ``max_away`` is the most regions that did not get their full traffic at once. ``violations`` has a line for each
+    violation of the lease checker's and the region checker's rules.
+    """
 
     steps: int
     orders: int
@@ -21,7 +25,10 @@
 
 
 def run_trial(seed: int, fault: str = "") -> RegionOutcome:
-    """Run ``seed`` with the injected fault of that name; "" for none. UnknownFaultError if there is none of it."""
+    """Run ``seed`` with the injected fault named ``fault``, or without one if the name is empty.
+
+    Raises UnknownFaultError if there is no fault of that name.
+    """
     with inject(fault):
         fleet = RegionFleet(seed)
         leases = fleet.run()
--- a/lab/simulated_proxies.py
+++ b/lab/simulated_proxies.py
@@ -1,4 +1,4 @@
-"""Proxy processes in virtual time, as an agent sees them."""
+"""Simulated proxy processes in virtual time, as an agent sees them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from beechslip.clock import ManualClock
 
 DRAIN_MS = 600.0
-"""Time that a simulated proxy takes to answer what it has accepted."""
+"""Time that a simulated proxy takes to answer the requests that it has accepted."""
 
 READY_MS = 500.0
 """Age from which a simulated proxy answers its health check."""
 
 
 class SimulatedProxy:
-    """A process of an instance. ``signals`` are the names of those that it got, in order."""
+    """A process of an instance. ``signals`` has the names of the signals that it received, in order."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         ignores_sigterm: bool,
         on_sigterm: Callable[[SimulatedProxy], None],
     ) -> None:
-        """``agent``: the holder that started it; ``on_sigterm`` is called before a SIGTERM takes effect."""
+        """Start the process for ``agent``, a lease holder; ``on_sigterm`` is called before a SIGTERM takes effect."""
         self.instance = instance
         self.agent = agent
         self.pid = pid
@@ -41,44 +41,44 @@
         self._ended = asyncio.Event()
 
     @property
-    def alive(self) -> bool:
-        """Whether it has not ended."""
+    def is_alive(self) -> bool:
+        """True if the process has not ended."""
         return self.returncode is None
 
     @property
-    def healthy(self) -> bool:
-        """Whether it would answer its health check now."""
-        return self.alive and self._clock.now_ms() - self.started_ms >= READY_MS
+    def is_ready(self) -> bool:
+        """True if the process would answer its health check now."""
+        return self.is_alive and self._clock.now_ms() - self.started_ms >= READY_MS
 
     def end(self, code: int) -> None:
-        """End now, unless it has ended already."""
+        """End with the exit code ``code`` now, unless the process has ended already."""
         if self.returncode is None:
             self.returncode = code
             self.ended_ms = self._clock.now_ms()
             self._ended.set()
 
     def drain(self) -> None:
-        """End in order after ``DRAIN_MS``, as when its agent is gone."""
+        """Exit with code 0 after ``DRAIN_MS``, as a proxy does when its agent is gone."""
         self._clock.call_later(DRAIN_MS, lambda: self.end(0))
 
     def terminate(self) -> None:
-        """SIGTERM: drain, unless it ignores the signal."""
+        """Receive SIGTERM: drain, unless the process ignores the signal."""
         self.signals.append("TERM")
         self._on_sigterm(self)
         if not self._ignores_sigterm:
             self.drain()
 
     def kill(self) -> None:
-        """SIGKILL: end at once."""
+        """Receive SIGKILL: end at once."""
         self.signals.append("KILL")
         self.end(-signal.SIGKILL)
 
     def reload(self) -> None:
-        """SIGHUP: noted only."""
+        """Receive SIGHUP, which is only recorded."""
         self.signals.append("HUP")
 
     async def wait(self) -> int:
-        """The exit code, once it has ended."""
+        """Wait until the process has ended and return its exit code."""
         await self._ended.wait()
         assert self.returncode is not None
         return self.returncode
--- a/lab/spending.py
+++ b/lab/spending.py
@@ -1,7 +1,9 @@
-"""What the fleet really spent of each limit, as the stand-in backends met it, against the limit. Nothing that a proxy
-says of itself is believed here, but for which of its retries were in vain.
+"""Checks what the fleet spent of each limit, by the requests that the fake backends received.
 
-Slack is the settings' ``travel_ms`` alone: what was sent within the bound may bunch by that on its way.
+Nothing that a proxy reports about itself is used, except which of its retries failed.
+
+The only tolerance is ``travel_ms`` of the settings: requests that were sent within the limit may arrive closer
+together by that time.
 """
 
 from __future__ import annotations
@@ -17,44 +19,47 @@
 from lab.budget_checker import BudgetChecker
 from lab.check import Violation
 
-Bounds = Sequence[tuple[float, float]]  # from when (ms) which amount holds, in order
+AmountChanges = Sequence[tuple[float, float]]  # times (ms) and the amounts allowed from then on, in order
 
 
 class Spending(NamedTuple):
-    """``cost`` was occupied from ``began_ms`` to ``ended_ms`` by the lab's clock."""
+    """A use of ``cost`` from ``began_ms`` to ``ended_ms`` by the lab's clock."""
 
     began_ms: float
     ended_ms: float
     cost: float
 
 
-class _Kind(IntEnum):
-    """What happens to a limit; of events at one time the lower goes first."""
+class _EventKind(IntEnum):
+    """What happens to a limit. Of events at the same time, those of a lower kind come first."""
 
     BOUND = -1
     RELEASE = 0
     SPEND = 1
 
 
-class _Event(NamedTuple):
-    """``value``: the new bound, or the cost."""
+class _LimitEvent(NamedTuple):
+    """An event of a limit; ``value`` is the new bound, or the cost."""
 
     at_ms: float
-    kind: _Kind
+    kind: _EventKind
     value: float
 
 
 class SpendingReport(NamedTuple):
-    """What was violated, and the most of each limit that was in use at once, as a fraction of it."""
+    """The violations, and the most of each limit that was in use at once, as a fraction of the limit."""
 
     violations: list[Violation]
     max_used: dict[str, float]
 
 
-def spendings(backends: Sequence[BusyBackend], plan: Plan, day_ms: float) -> dict[str, list[Spending]]:
-    """By limit, all that was spent of it. ``day_ms``: the time of day less the lab's clock."""
+def collect_spendings(backends: Sequence[BusyBackend], plan: Plan, day_offset_ms: float) -> dict[str, list[Spending]]:
+    """Return all uses of each limit, by limit.
+
+    ``day_offset_ms`` is the time of day minus the time by the lab's clock.
+    """
     spent: defaultdict[str, list[Spending]] = defaultdict(list)
-    spent[RETRIES] = _retries_in_vain(backends)
+    spent[RETRIES] = _failed_retries(backends)
     listed = {backend.name for backend in backends}
     for backend in backends:
         for met in backend.met:
@@ -64,38 +69,41 @@
             for name in dict.fromkeys((backend.name, met.source)):
                 if name not in listed:
                     continue
-                for cost in plan.costs_of(name, met.t + day_ms):
+                for cost in plan.costs_of(name, met.t + day_offset_ms):
                     spent[cost.limit].append(Spending(met.t, met.ended or met.t, cost.amount))
-        for began, ended in backend.links:
-            spent[f"{CONNECTIONS}:{backend.name}"].append(Spending(began, ended, 1.0))
+        for began_ms, ended_ms in backend.links:
+            spent[f"{CONNECTIONS}:{backend.name}"].append(Spending(began_ms, ended_ms, 1.0))
     return dict(spent)
 
 
-def _retries_in_vain(backends: Sequence[BusyBackend]) -> list[Spending]:
-    """Attempts after a request's first that were not served."""
+def _failed_retries(backends: Sequence[BusyBackend]) -> list[Spending]:
+    """Return the attempts that were not the first of their request and were not served."""
     attempts = [met for backend in backends for met in backend.met if not met.probe]
     seen: set[str] = set()
-    found: list[Spending] = []
+    failed: list[Spending] = []
     for met in sorted(attempts, key=lambda met: met.t):
         if met.trace in seen and not met.served:
-            found.append(Spending(met.t, met.t, 1.0))
+            failed.append(Spending(met.t, met.t, 1.0))
         seen.add(met.trace)
-    return found
+    return failed
 
 
-def check_limit(limit: FleetLimit, spent: Iterable[Spending], bounds: Bounds = ()) -> BudgetChecker:
-    """The checker of ``limit`` after all that was ``spent``; ``bounds`` where it is not always ``limit.amount``."""
+def check_limit(limit: FleetLimit, spent: Iterable[Spending], bounds: AmountChanges = ()) -> BudgetChecker:
+    """Return a checker of ``limit`` that has processed all uses in ``spent``.
+
+    ``bounds`` has the amounts allowed, if that is not ``limit.amount`` all the time.
+    """
     checker = BudgetChecker(limit)
-    events = [_Event(at_ms, _Kind.BOUND, amount) for at_ms, amount in bounds]
+    events = [_LimitEvent(at_ms, _EventKind.BOUND, amount) for at_ms, amount in bounds]
     for spending in spent:
-        events.append(_Event(spending.began_ms, _Kind.SPEND, spending.cost))
+        events.append(_LimitEvent(spending.began_ms, _EventKind.SPEND, spending.cost))
         if limit.kind == "flight":
             ended_ms = max(spending.ended_ms, spending.began_ms)
-            events.append(_Event(ended_ms, _Kind.RELEASE, spending.cost))
+            events.append(_LimitEvent(ended_ms, _EventKind.RELEASE, spending.cost))
     for event in sorted(events):
-        if event.kind is _Kind.BOUND:
+        if event.kind is _EventKind.BOUND:
             checker.bound = event.value
-        elif event.kind is _Kind.SPEND:
+        elif event.kind is _EventKind.SPEND:
             checker.spend(event.at_ms, "the fleet", event.value)
         else:
             checker.release()
@@ -105,19 +113,22 @@
 def check_spending(
     backends: Sequence[BusyBackend],
     plan: Plan,
-    day_ms: float,
-    bounds: Mapping[str, Bounds],
+    day_offset_ms: float,
+    bounds: Mapping[str, AmountChanges],
     grace_ms: float,
 ) -> SpendingReport:
-    """Check all limits that were spent of; ``bounds`` by limit. What a backend in slow start met within ``grace_ms``
-    of its start is not counted: not all proxies knew of it."""
+    """Check all limits that were used; ``bounds`` has the amounts allowed by limit.
+
+    Requests that a backend in slow start received within ``grace_ms`` of its start are not counted, as not all
+    proxies knew of the start.
+    """
     report = SpendingReport([], {})
-    spent = spendings(backends, plan, day_ms)
-    for name, limit in _all_limits(plan, day_ms).items():
+    spent = collect_spendings(backends, plan, day_offset_ms)
+    for name, limit in _all_limits(plan, day_offset_ms).items():
         if not spent.get(name):
             continue
         if name.startswith(f"{SLOW_START}:"):
-            since_ms = float(name.rpartition("@")[2]) - day_ms + grace_ms
+            since_ms = float(name.rpartition("@")[2]) - day_offset_ms + grace_ms
             spent[name] = [spending for spending in spent[name] if spending.began_ms >= since_ms]
         checker = check_limit(limit, spent[name], bounds.get(name, ()))
         report.max_used[name] = round(checker.max_used_fraction(), 3)
@@ -125,9 +136,9 @@
     return report
 
 
-def _all_limits(plan: Plan, day_ms: float) -> dict[str, FleetLimit]:
-    """Those of now, and those of each backend's slow start."""
-    found = {limit.name: limit for limit in plan.limits(day_ms)}
+def _all_limits(plan: Plan, day_offset_ms: float) -> dict[str, FleetLimit]:
+    """Return the limits of now and those of each backend's slow start, by name."""
+    failed = {limit.name: limit for limit in plan.limits(day_offset_ms)}
     for backend in plan.backends.values():
-        found |= {limit.name: limit for limit in plan.limits(backend.started_ms + 1.0)}
-    return found
+        failed |= {limit.name: limit for limit in plan.limits(backend.started_ms + 1.0)}
+    return failed
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -43,8 +43,8 @@
 from lab.injected_faults import inject, registered
 from lab.search import Bounds, Search
 from lab.stand import SETTINGS
-from lab.virtual import VirtualFleet, play
-from lab.virtual_plan import LEASE, Net, Plan, schedule
+from lab.virtual import VirtualFleet, run_seed
+from lab.virtual_plan import LEASE_TUNING, NetworkConditions, RunPlan, draw_plan
 
 T = LeaseTuning(1000.0, 1000.0, 100.0, 0.01)
 
@@ -52,7 +52,7 @@
 
 
 def test_no_seed_finds_two_holders_or_a_falling_token() -> None:
-    outcomes = [play(seed) for seed in range(120)]
+    outcomes = [run_seed(seed) for seed in range(120)]
     assert [(o.seed, o.violations) for o in outcomes if o.violations] == []
     assert sum(o.handovers for o in outcomes) > 200 and sum(o.acts for o in outcomes) > 10_000  # not idle
 
@@ -71,23 +71,23 @@
     ],
 )
 def test_an_injected_fault_is_found_in_virtual_time(fault: str, seed: int, rule: str) -> None:
-    assert any(v.startswith(rule) for v in play(seed, fault).violations)
-    assert play(seed).violations == ()  # and it was the fault
+    assert any(v.startswith(rule) for v in run_seed(seed, fault).violations)
+    assert run_seed(seed).violations == ()  # and it was the fault
 
 
 def test_a_set_that_grows_without_naming_the_one_before_is_found() -> None:
-    fleet = VirtualFleet(dataclasses.replace(schedule(63), before=False), 63)
+    fleet = VirtualFleet(dataclasses.replace(draw_plan(63), names_earlier_set=False), 63)
     assert any(v.rule == "two-holders" for v in fleet.run().violations)
-    assert play(63).violations == ()
+    assert run_seed(63).violations == ()
 
 
 def test_a_run_replays_exactly_from_its_seed() -> None:
-    assert play(7) == play(7)
+    assert run_seed(7) == run_seed(7)
 
 
 def test_every_interleaving_within_bounds_has_one_holder() -> None:
     found = Search(Bounds(units=1, restarts=0)).run()
-    assert found.complete and not found.violation and found.states > 50_000
+    assert found.is_complete and not found.violation and found.states > 50_000
 
 
 @pytest.mark.parametrize("fault", ["no-quiet", "timer-at-answer", "any-promise"])
@@ -98,12 +98,12 @@
 
 
 def test_a_dead_holder_is_followed_within_many_times_the_stated_bound() -> None:
-    plan = Plan(5, ("t0",), 12_000.0, Net(), [(4_000.0, "holder", [(0.0, "kill")])])
+    plan = RunPlan(5, ("t0",), 12_000.0, NetworkConditions(), [(4_000.0, "holder", [(0.0, "kill")])])
     fleet = VirtualFleet(plan, 1)
-    fleet.keep = True
+    fleet.keeps_events = True
     fleet.run()
     took = [e["t"] for e in fleet.events if e["kind"] == "hold" and e["t"] > 4_000]
-    assert took and took[0] - 4_000 < 5 * LEASE.lease_ms
+    assert took and took[0] - 4_000 < 5 * LEASE_TUNING.lease_ms
     assert {e["member"] for e in fleet.events if e["kind"] == "hold" and e["t"] > 4_000} != {
         e["member"] for e in fleet.events if e["kind"] == "hold" and e["t"] < 4_000
     }
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -25,7 +25,7 @@
 from beechslip.store.sqlite import SqliteDatabase
 from lab.agent_fleet import WriteFault
 from lab.injected_faults import inject, registered
-from lab.virtual_agents import play, sweep
+from lab.virtual_agents import run_seed, run_with_write_fault
 from tests.pg_stand import PgStand
 
 
@@ -366,7 +366,7 @@
 def test_agents_keep_the_rules_whatever_fails() -> None:
     ended: dict[str, int] = {}
     for seed in range(120):
-        writes, states, violations = play(seed)
+        writes, states, violations = run_seed(seed)
         assert violations == () and writes > 0, seed
         for what, count in states.items():
             ended[what] = ended.get(what, 0) + count
@@ -385,13 +385,13 @@
 
 @pytest.mark.parametrize("fault", sorted(set(registered("orders")) - {"withdraws-what-is-taken"}))
 def test_an_injected_fault_is_found(fault: str) -> None:
-    assert any(play(seed, fault)[2] for seed in RARE.get(fault, range(60)))
+    assert any(run_seed(seed, fault)[2] for seed in RARE.get(fault, range(60)))
 
 
 @pytest.mark.parametrize("fault", list(WriteFault))
 def test_an_order_ends_as_it_should_though_a_write_fails_at_any_place(fault: WriteFault) -> None:
     """Every second of the writes of a restart of four under two agents; ``python -m bench.orders`` plays them all."""
-    writes, _, _ = sweep("restart")
+    writes, _, _ = run_with_write_fault("restart")
     for write in range(1, writes + 1, 2):
-        _, ended, violations = sweep("restart", write, fault)
+        _, ended, violations = run_with_write_fault("restart", write, fault)
         assert violations == () and ended.state == "done" and {s.state for s in ended.steps} == {"done"}, write
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -8,15 +8,15 @@
 import pytest
 
 from beechslip.orders.model import Order, Step
-from lab.agent_judge import Outcome
-from lab.agent_world import CASES, AgentWorld, Case, run_case
+from lab.agent_judge import CaseOutcome
+from lab.agent_world import CASES, AgentTestbed, OrderCase, run_case
 from tests.pg_stand import PgStand
 
 AT_ONCE = 2  # cases side by side, each in an xdist group; each has several agents and proxies
 MAX_RUNS = 3
 
 
-async def play(case: Case, folder: Path) -> Outcome:
+async def play(case: OrderCase, folder: Path) -> CaseOutcome:
     """Untrue reports stand. An order that has not ended in four times its time is played again, twice."""
     for number in range(MAX_RUNS):
         server = PgStand() if case.postgres else None
@@ -35,7 +35,7 @@
         for number, case in enumerate(CASES)
     ],
 )
-def test_the_report_of_an_order_over_real_proxies_is_true(case: Case, tmp_path: Path) -> None:
+def test_the_report_of_an_order_over_real_proxies_is_true(case: OrderCase, tmp_path: Path) -> None:
     outcome = asyncio.run(play(case, tmp_path))
     assert outcome.violations == []
     ended = {s.state for o in outcome.orders if o.state == "done" for s in o.steps}
@@ -49,7 +49,7 @@
 
 
 def test_the_judge_of_real_runs_finds_an_untrue_report(tmp_path: Path) -> None:
-    world = AgentWorld(CASES[0], tmp_path)
+    world = AgentTestbed(CASES[0], tmp_path)
     world.folder.mkdir(exist_ok=True)
     (tmp_path / "a0.log").write_text(
         "".join(
@@ -71,7 +71,7 @@
     ]
     found = []
     for one in orders:
-        outcome = Outcome([one])
-        world.judge(outcome, {"n0": False, "n1": False, "n2": True, "n3": False})
+        outcome = CaseOutcome([one])
+        world.check_reports(outcome, {"n0": False, "n1": False, "n2": True, "n3": False})
         found.append(bool(outcome.violations))
     assert found == [False, True, True, True, True, True]
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -40,7 +40,7 @@
 def test_a_seed_replays_exactly() -> None:
     def events(seed: int) -> list[Any]:
         fleet = RegionFleet(seed)
-        fleet.keep = True
+        fleet.keeps_events = True
         fleet.run()
         return fleet.events
 
