--- a/bench/budget_measures.py
+++ b/bench/budget_measures.py
@@ -21,7 +21,7 @@
 from beechslip.leases.paxos import LeaseTuning
 from lab.virtual import VirtualFleet
 from lab.virtual_budgets import BudgetFleet
-from lab.virtual_plan import Net, Plan
+from lab.virtual_plan import NetworkConditions, RunPlan
 
 LIMIT_KINDS = ("window", "flight", "rate")
 DIVISIONS = ("static", "lent", "pool")
@@ -77,11 +77,11 @@
         size: int,
         seed: int,
         division: str,
-        net: Net,
+        net: NetworkConditions,
         until_ms: float,
         faults: list[tuple[float, str, Any]],
         weights: dict[str, float] | None = None,
-        wire: bool = False,
+        use_codec: bool = False,
         wanted: float = WANTED_FRACTION,
     ) -> None:
         """Schedule the run's faults and samples.
@@ -94,7 +94,7 @@
         self.wanted = wanted
         self.requests = {f"d{n}": RequestCount() for n in range(size)}
         self.samples: list[tuple[float, dict[str, float]]] = []  # time, fraction of each limit in use
-        plan = Plan(
+        plan = RunPlan(
             size,
             (LEASE,),
             until_ms,
@@ -103,12 +103,12 @@
             tuning=LeaseTuning(),
             tick_ms=TICK_MS,
             drill_every_ms=NO_DRILL_MS,
-            wire=wire,
+            use_codec=use_codec,
         )
         self._load_rng = random.Random(f"day {seed}")
         super().__init__(seed, plan, fleet_limits(size, division))
         for at in range(0, int(until_ms), SAMPLE_INTERVAL_MS):
-            self._at(float(at), self._sample)
+            self._call_at(float(at), self._sample)
 
     def _sample(self) -> None:
         in_use = {name: checker.used(self.now) / checker.limit.amount for name, checker in self.checkers.items()}
@@ -139,16 +139,16 @@
         """
         return self.weights.get(name, 1.0) / sum(self.weights.get(n, 1.0) for n in self.members)
 
-    def _turn(self, name: str, one: Any) -> None:
+    def _run_member(self, name: str, one: Any) -> None:
         # BudgetFleet._turn is skipped, because it spends by a demand of its own.
-        VirtualFleet._turn(self, name, one)
+        VirtualFleet._run_member(self, name, one)
         node = self.nodes[name]
-        local = self._local(one)
+        local = self._local_ms(one)
         if self.division != "static":
-            self._pass_on(name, node.tick(local))
+            self._send_budgets(name, node.tick(local))
         if self.now < LOAD_BEGIN_MS:
             return
-        for limit in self.base:
+        for limit in self.base_limits:
             mean = self.wanted * _per_second(limit) * self._traffic_share(name) * self.plan.tick_ms / 1000.0
             for _ in range(_poisson(self._load_rng, mean)):
                 is_served = node.spend(local, [LimitCost(limit.name, 1.0)])
@@ -156,17 +156,17 @@
                 self.requests[name].made += 1
                 self.requests[name].served += is_served
                 if is_served:
-                    self._felt(name, limit.name)
+                    self._record_use(name, limit.name)
 
-    def _felt(self, name: str, limit: str, cost: float = 1.0) -> None:
+    def _record_use(self, name: str, limit: str, cost: float = 1.0) -> None:
         checker = self.checkers[limit]
         began = self.now + 1.0
-        self._at(began, lambda: checker.spend(self.now, name, cost))
+        self._call_at(began, lambda: checker.spend(self.now, name, cost))
         if checker.limit.kind == "flight":
             flight_ms = self._load_rng.expovariate(1 / MEAN_FLIGHT_MS)
             ended = began + min(flight_ms, checker.limit.base_occupancy_ms - 200.0)
-            self._at(ended, checker.release)
-            self._at(ended, partial(self._release, name, self._lives[name], limit, True))
+            self._call_at(ended, checker.release)
+            self._call_at(ended, partial(self._release, name, self._incarnations[name], limit, True))
 
 
 def _per_second(limit: FleetLimit) -> float:
@@ -219,10 +219,10 @@
         size,
         seed,
         division,
-        Net(loss, 0.0, loss, MAX_LATENESS_MS),
+        NetworkConditions(loss, 0.0, loss, MAX_LATENESS_MS),
         RUN_END_MS,
         faults,
-        wire=size == ENCODED_FLEET_SIZE,
+        use_codec=size == ENCODED_FLEET_SIZE,
     )
     fleet.run()
     total_requests = fleet.total_requests()
@@ -253,7 +253,9 @@
 def measure_unequal_traffic(wanted: float, size: int, division: str, seed: int) -> UnequalResult:
     """Run a fleet in which one proxy in ten has five times the traffic of each other proxy."""
     weights = {f"d{n}": 5.0 if n % 10 == 0 else 1.0 for n in range(size)}
-    fleet = LoadedFleet(size, seed, division, Net(), LOAD_BEGIN_MS + 30_000.0, [], weights, wanted=wanted)
+    fleet = LoadedFleet(
+        size, seed, division, NetworkConditions(), LOAD_BEGIN_MS + 30_000.0, [], weights, wanted=wanted
+    )
     fleet.run()
     return UnequalResult(
         fleet.served_fraction([name for name, weight in weights.items() if weight > 1]),
@@ -278,7 +280,12 @@
     """
     faults: list[tuple[float, str, Any]] = [(1.0, "kill", "d1"), (DEATHS_AT_MS, "start", "d1")]
     fleet = LoadedFleet(
-        size, seed, division, Net(loss, 0.0, loss, MAX_LATENESS_MS), DEATHS_AT_MS + NEWCOMER_WATCH_MS, faults
+        size,
+        seed,
+        division,
+        NetworkConditions(loss, 0.0, loss, MAX_LATENESS_MS),
+        DEATHS_AT_MS + NEWCOMER_WATCH_MS,
+        faults,
     )
     not_within = NEWCOMER_WATCH_MS / 1000.0
     seconds = dict.fromkeys(LIMIT_KINDS, not_within)
@@ -287,8 +294,8 @@
         member = fleet.members.get("d1")
         if member is None:
             return
-        for limit in fleet.base:
-            capacity = fleet.nodes["d1"].capacity(fleet._local(member), limit.name) or 0.0
+        for limit in fleet.base_limits:
+            capacity = fleet.nodes["d1"].capacity(fleet._local_ms(member), limit.name) or 0.0
             if (
                 seconds[limit.name] == not_within
                 and capacity >= NEWCOMER_TARGET_FRACTION * WANTED_FRACTION * limit.amount / size
@@ -296,6 +303,6 @@
                 seconds[limit.name] = (fleet.now - DEATHS_AT_MS) / 1000.0
 
     for step in range(1, int(NEWCOMER_WATCH_MS / SAMPLE_INTERVAL_MS)):
-        fleet._at(DEATHS_AT_MS + float(SAMPLE_INTERVAL_MS) * step, check_capacity)
+        fleet._call_at(DEATHS_AT_MS + float(SAMPLE_INTERVAL_MS) * step, check_capacity)
     fleet.run()
     return NewcomerResult(seconds, fleet.violations())
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -26,10 +26,10 @@
 from beechslip.orders.model import OrderKind
 from bench.text import format_page
 from lab.agent_fleet import WriteFault
-from lab.agent_judge import Outcome
-from lab.agent_world import Case, Fault, FaultKind, run_case
+from lab.agent_judge import CaseOutcome
+from lab.agent_world import Fault, FaultKind, OrderCase, run_case
 from lab.injected_faults import registered
-from lab.virtual_agents import play, sweep
+from lab.virtual_agents import run_seed, run_with_write_fault
 
 PROXY_COUNT = 20
 AGENT_COUNT = 5
@@ -83,10 +83,10 @@
 ]
 
 
-def run_rollout(name: str, seed: int) -> Outcome:
+def run_rollout(name: str, seed: int) -> CaseOutcome:
     """Run a rollout once on real processes."""
     rollout = ROLLOUTS[name]
-    case = Case(
+    case = OrderCase(
         f"bench {seed}",
         "restart",
         PROXY_COUNT,
@@ -105,10 +105,10 @@
 
     Returns the number of runs and how often orders and steps ended in each state.
     """
-    writes = sweep(kind).writes
+    writes = run_with_write_fault(kind).writes
     end_counts: Counter[str] = Counter()
     for write in range(1, writes + 1):
-        result = sweep(kind, write, fault)
+        result = run_with_write_fault(kind, write, fault)
         end_counts["violations"] += len(result.violations)
         end_counts[f"order {result.order.state}"] += 1
         end_counts.update(f"{STEP_PREFIX}{step.state}" for step in result.order.steps)
@@ -133,14 +133,14 @@
     worst: dict[str, float] = {}
     for name in ROLLOUTS if seeds else ():
         runs = [run_rollout(name, seed) for seed in range(1, seeds + 1)]
-        worst[name] = float(np.mean([run.worst for run in runs]))
+        worst[name] = float(np.mean([run.min_served_fraction for run in runs]))
         rows.append(print_and_return(rollout_row(name, runs, worst[name])))
     if worst:
         draw_worst_seconds(worst, chart)
     return rows
 
 
-def rollout_row(name: str, runs: Sequence[Outcome], worst: float) -> str:
+def rollout_row(name: str, runs: Sequence[CaseOutcome], worst: float) -> str:
     """Return the row of one rollout: the means over its runs."""
     took_s = np.mean([run.took_s for run in runs])
     served = np.mean([run.answers.get("200", 0) / max(1, sum(run.answers.values())) for run in runs])
@@ -165,7 +165,7 @@
 
 def soak_text(pool: ProcessPoolExecutor, seeds: int) -> str:
     """Return the results of the seeds with all faults, as text."""
-    results = list(pool.map(play, range(seeds), chunksize=SEEDS_PER_TASK))
+    results = list(pool.map(run_seed, range(seeds), chunksize=SEEDS_PER_TASK))
     total: Counter[str] = Counter()
     for result in results:
         total.update(result.states)
@@ -181,7 +181,7 @@
     rows = []
     seeds = range(INJECTED_FAULT_SEEDS)
     for fault in sorted(registered("orders")):
-        results = pool.map(play, seeds, [fault] * len(seeds), chunksize=SEEDS_PER_TASK)
+        results = pool.map(run_seed, seeds, [fault] * len(seeds), chunksize=SEEDS_PER_TASK)
         rows.append(print_and_return(f"| {fault} | {sum(bool(result.violations) for result in results)} |"))
     return rows
 
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -40,7 +40,7 @@
 )
 from bench.text import format_page
 from lab.virtual import VirtualFleet
-from lab.virtual_plan import Net, Plan
+from lab.virtual_plan import NetworkConditions, RunPlan
 
 FLEET_SIZE = 10
 REQUEST_INTERVAL_MS = 500.0
@@ -193,13 +193,13 @@
     def _boot(self, name: str) -> None:
         super()._boot(name)
         others = [f"d{n}" for n in range(self.plan.size) if f"d{n}" != name]
-        local = self._local(self.members[name])
-        self.nodes[name] = Escrow(name, others, self.base, local, self.now == 0.0, self.seed)  # type: ignore[assignment]
+        local = self._local_ms(self.members[name])
+        self.nodes[name] = Escrow(name, others, self.base_limits, local, self.now == 0.0, self.seed)  # type: ignore[assignment]
 
-    def _through(self, sender: str, message: Any) -> Any:
-        return message if isinstance(message, EscrowMessage) else super()._through(sender, message)
+    def _pass_through_codec(self, sender: str, message: Any) -> Any:
+        return message if isinstance(message, EscrowMessage) else super()._pass_through_codec(sender, message)
 
-    def _pass_on(self, sender: str, out: Any) -> None:
+    def _send_budgets(self, sender: str, out: Any) -> None:
         self.budget_datagrams += len(out)
         self._send(sender, out)
 
@@ -207,8 +207,8 @@
         member = self.members.get(to)
         if not isinstance(message, EscrowMessage):
             super()._deliver(sender, to, message)
-        elif member is not None and not member.stopped:
-            self._pass_on(to, self.nodes[to].receive(self._local(member), sender, message))  # type: ignore[arg-type]
+        elif member is not None and not member.is_stopped:
+            self._send_budgets(to, self.nodes[to].receive(self._local_ms(member), sender, message))  # type: ignore[arg-type]
 
 
 @dataclass(frozen=True, slots=True)
@@ -234,7 +234,9 @@
     faults = death_faults(random.Random(f"ways {scenario} {seed}"), FLEET_SIZE, load_scenario.dying_fraction)
     weights = {f"d{n}": 5.0 if load_scenario.is_unequal and n == 0 else 1.0 for n in range(FLEET_SIZE)}
     fleet_type = EscrowFleet if division == "escrow" else LoadedFleet
-    fleet = fleet_type(FLEET_SIZE, seed, division, Net(loss, 0.0, loss, MAX_LATENESS_MS), RUN_END_MS, faults, weights)
+    fleet = fleet_type(
+        FLEET_SIZE, seed, division, NetworkConditions(loss, 0.0, loss, MAX_LATENESS_MS), RUN_END_MS, faults, weights
+    )
     fleet.run()
     total_requests = fleet.total_requests()
     busy = fleet.requests["d0"]
@@ -250,11 +252,11 @@
 
 def lease_datagrams(count: int, seed: int = 1) -> float:
     """Return the datagrams per second of ten members that hold ``count`` leases between them."""
-    plan = Plan(
+    plan = RunPlan(
         FLEET_SIZE,
         tuple(f"u{n}" for n in range(count)),
         LEASE_RUN_MS,
-        Net(),
+        NetworkConditions(),
         [],
         tuning=LeaseTuning(),
         tick_ms=TICK_MS,
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -43,8 +43,8 @@
 from lab.injected_faults import inject, registered
 from lab.search import Bounds, Search
 from lab.stand import SETTINGS
-from lab.virtual import VirtualFleet, play
-from lab.virtual_plan import LEASE, Net, Plan, schedule
+from lab.virtual import VirtualFleet, run_seed
+from lab.virtual_plan import LEASE_TUNING, NetworkConditions, RunPlan, draw_plan
 
 TUNING = LeaseTuning(1000.0, 1000.0, 100.0, 0.01)
 
@@ -52,7 +52,7 @@
 
 
 def test_runs_in_virtual_time_have_no_two_holders_and_no_falling_token() -> None:
-    outcomes = [play(seed) for seed in range(120)]
+    outcomes = [run_seed(seed) for seed in range(120)]
     assert [(o.seed, o.violations) for o in outcomes if o.violations] == []
     # The runs must have done something.
     assert sum(o.handovers for o in outcomes) > 200 and sum(o.acts for o in outcomes) > 10_000
@@ -73,23 +73,23 @@
     ],
 )
 def test_a_run_in_virtual_time_finds_the_injected_fault(fault: str, seed: int, rule: str) -> None:
-    assert any(v.startswith(rule) for v in play(seed, fault).violations)
-    assert play(seed).violations == ()  # without the fault nothing is found
+    assert any(v.startswith(rule) for v in run_seed(seed, fault).violations)
+    assert run_seed(seed).violations == ()  # without the fault nothing is found
 
 
 def test_a_run_finds_two_holders_if_a_member_set_grows_without_naming_the_previous_one() -> None:
-    fleet = VirtualFleet(dataclasses.replace(schedule(63), before=False), 63)
+    fleet = VirtualFleet(dataclasses.replace(draw_plan(63), names_earlier_set=False), 63)
     assert any(v.rule == "two-holders" for v in fleet.run().violations)
-    assert play(63).violations == ()
+    assert run_seed(63).violations == ()
 
 
 def test_a_run_is_reproduced_exactly_by_its_seed() -> None:
-    assert play(7) == play(7)
+    assert run_seed(7) == run_seed(7)
 
 
 def test_search_finds_at_most_one_holder_in_every_interleaving_within_bounds() -> None:
     found = Search(Bounds(units=1, restarts=0)).run()
-    assert found.complete and not found.violation and found.states > 50_000
+    assert found.is_complete and not found.violation and found.states > 50_000
 
 
 @pytest.mark.parametrize("fault", ["no-quiet", "timer-at-answer", "any-promise"])
@@ -100,12 +100,12 @@
 
 
 def test_another_member_takes_the_lease_of_a_dead_holder_within_five_lease_times() -> None:
-    plan = Plan(5, ("t0",), 12_000.0, Net(), [(4_000.0, "holder", [(0.0, "kill")])])
+    plan = RunPlan(5, ("t0",), 12_000.0, NetworkConditions(), [(4_000.0, "holder", [(0.0, "kill")])])
     fleet = VirtualFleet(plan, 1)
-    fleet.keep = True
+    fleet.keeps_events = True
     fleet.run()
     taken_at_ms = [e["t"] for e in fleet.events if e["kind"] == "hold" and e["t"] > 4_000]
-    assert taken_at_ms and taken_at_ms[0] - 4_000 < 5 * LEASE.lease_ms
+    assert taken_at_ms and taken_at_ms[0] - 4_000 < 5 * LEASE_TUNING.lease_ms
     assert {e["member"] for e in fleet.events if e["kind"] == "hold" and e["t"] > 4_000} != {
         e["member"] for e in fleet.events if e["kind"] == "hold" and e["t"] < 4_000
     }
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -25,7 +25,7 @@
 from beechslip.store.sqlite import SqliteDatabase
 from lab.agent_fleet import WriteFault
 from lab.injected_faults import inject, registered
-from lab.virtual_agents import play, sweep
+from lab.virtual_agents import run_seed, run_with_write_fault
 from tests.pg_stand import FakePostgresServer
 
 
@@ -391,7 +391,7 @@
 def test_agents_violate_no_rule_in_seeded_runs_with_faults() -> None:
     ended: dict[str, int] = {}
     for seed in range(120):
-        writes, states, violations = play(seed)
+        writes, states, violations = run_seed(seed)
         assert violations == () and writes > 0, seed
         for what, count in states.items():
             ended[what] = ended.get(what, 0) + count
@@ -410,7 +410,7 @@
 
 @pytest.mark.parametrize("fault", sorted(set(registered("orders")) - {"withdraws-what-is-taken"}))
 def test_the_checker_finds_the_injected_fault(fault: str) -> None:
-    assert any(play(seed, fault)[2] for seed in SEEDS_BY_FAULT.get(fault, range(60)))
+    assert any(run_seed(seed, fault)[2] for seed in SEEDS_BY_FAULT.get(fault, range(60)))
 
 
 @pytest.mark.parametrize("fault", list(WriteFault))
@@ -419,7 +419,7 @@
 
     ``python -m bench.orders`` fails each of the writes in turn.
     """
-    writes, _, _ = sweep("restart")
+    writes, _, _ = run_with_write_fault("restart")
     for write in range(1, writes + 1, 2):
-        _, ended, violations = sweep("restart", write, fault)
+        _, ended, violations = run_with_write_fault("restart", write, fault)
         assert violations == () and ended.state == "done" and {s.state for s in ended.steps} == {"done"}, write
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -8,15 +8,15 @@
 import pytest
 
 from beechslip.orders.model import Order, Step
-from lab.agent_judge import Outcome
-from lab.agent_world import CASES, AgentWorld, Case, run_case
+from lab.agent_judge import CaseOutcome
+from lab.agent_world import CASES, AgentTestbed, OrderCase, run_case
 from tests.pg_stand import FakePostgresServer
 
 PARALLEL_CASES = 2  # cases that run in parallel, each in an xdist group; a case runs several agents and proxies
 MAX_RUNS = 3
 
 
-async def run_until_ended(case: Case, folder: Path) -> Outcome:
+async def run_until_ended(case: OrderCase, folder: Path) -> CaseOutcome:
     """Run a case, and repeat it up to twice if its only violations are orders that have not ended.
 
     An order counts as not ended after four times its usual time. A run with any other violation, such as an untrue
@@ -39,7 +39,7 @@
         for number, case in enumerate(CASES)
     ],
 )
-def test_the_report_of_an_order_over_real_proxies_is_true(case: Case, tmp_path: Path) -> None:
+def test_the_report_of_an_order_over_real_proxies_is_true(case: OrderCase, tmp_path: Path) -> None:
     outcome = asyncio.run(run_until_ended(case, tmp_path))
     assert outcome.violations == []
     ended = {s.state for o in outcome.orders if o.state == "done" for s in o.steps}
@@ -53,7 +53,7 @@
 
 
 def test_the_judge_finds_untrue_reports(tmp_path: Path) -> None:
-    world = AgentWorld(CASES[0], tmp_path)
+    world = AgentTestbed(CASES[0], tmp_path)
     world.folder.mkdir(exist_ok=True)
     (tmp_path / "a0.log").write_text(
         "".join(
@@ -75,7 +75,7 @@
     ]
     has_violations = []
     for one in orders:
-        outcome = Outcome([one])
-        world.judge(outcome, {"n0": False, "n1": False, "n2": True, "n3": False})
+        outcome = CaseOutcome([one])
+        world.check_reports(outcome, {"n0": False, "n1": False, "n2": True, "n3": False})
         has_violations.append(bool(outcome.violations))
     assert has_violations == [False, True, True, True, True, True]
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -40,7 +40,7 @@
 def test_region_trial_replays_exactly_from_its_seed() -> None:
     def events(seed: int) -> list[Any]:
         fleet = RegionFleet(seed)
-        fleet.keep = True
+        fleet.keeps_events = True
         fleet.run()
         return fleet.events
 
