--- a/beechslip/core/attempts.py
+++ b/beechslip/core/attempts.py
@@ -24,11 +24,20 @@
 class InFlightAttempt:
     """An attempt in flight, with its task and its timeout alarm. Times are in ms of ``Clock.now_ms``."""
 
-    __slots__ = ("alarm", "may_have_been_sent", "requested_ms", "result", "sent_ms", "spec", "stop_reason", "task")
+    __slots__ = (
+        "alarm",
+        "attempt_request",
+        "may_have_been_sent",
+        "requested_ms",
+        "result",
+        "sent_ms",
+        "stop_reason",
+        "task",
+    )
 
-    def __init__(self, spec: AttemptRequest, requested_ms: float) -> None:
+    def __init__(self, attempt_request: AttemptRequest, requested_ms: float) -> None:
         """Create the attempt that the router requested at ``requested_ms``."""
-        self.spec = spec
+        self.attempt_request = attempt_request
         self.requested_ms = requested_ms
         self.sent_ms = requested_ms  # updated at the first byte: dialling or waiting for a connection may take time
         self.may_have_been_sent = False  # whether its first byte may have been sent
@@ -56,16 +65,16 @@
 
 
 def to_outcome_event(
-    spec: AttemptRequest, result: AttemptResult, elapsed_ms: float, has_request_ended: bool
+    attempt_request: AttemptRequest, result: AttemptResult, elapsed_ms: float, has_request_ended: bool
 ) -> interface.Outcome:
     """Return the router's event for the end of an attempt.
 
     ``elapsed_ms`` is the time on the wire, from the first byte sent to the last byte received.
     """
     return interface.Outcome(
-        request=spec.client_request.id,
-        attempt=spec.number,
-        backend=spec.backend.name,
+        request=attempt_request.client_request.id,
+        attempt=attempt_request.number,
+        backend=attempt_request.backend.name,
         # The router has no result for an unusable response. "cancelled" is the one of its results after which the
         # request may have run and no backend is blamed: all backends alike send unusable responses.
         result="cancelled" if result.result == "spoilt" else result.result,
@@ -104,10 +113,10 @@
             self._reject(request, number, backend or Backend(action.backend, ""))
             return
         now_ms = self._clock.now_ms()
-        spec = self._build_attempt_request(request, number, backend, action, now_ms)
-        attempt = InFlightAttempt(spec, now_ms)
+        attempt_request = self._build_attempt_request(request, number, backend, action, now_ms)
+        attempt = InFlightAttempt(attempt_request, now_ms)
         request.attempt = self.in_flight[action.request, number] = attempt
-        attempt.alarm = self._clock.call_later(spec.timeout_ms, lambda: attempt.stop("timeout"))
+        attempt.alarm = self._clock.call_later(attempt_request.timeout_ms, lambda: attempt.stop("timeout"))
         attempt.task = asyncio.get_running_loop().create_task(self._run(request, attempt))
         # The task does not post its result itself: if it were cancelled before its first step, it would end without
         # posting one, and the router would count the attempt as in flight for good.
@@ -116,13 +125,13 @@
 
     def finish(self, attempt: InFlightAttempt, result: AttemptResult) -> OpenRequest | None:
         """Remove an attempt from those in flight and return its request, or None if that is no longer open."""
-        spec = attempt.spec
-        self.in_flight.pop((spec.client_request.id, spec.number), None)
+        attempt_request = attempt.attempt_request
+        self.in_flight.pop((attempt_request.client_request.id, attempt_request.number), None)
         if attempt.alarm is not None:
             attempt.alarm.cancel()
         self._counters.add(f"attempt.{result.result}")
-        request = self._state.requests.by_id.get(spec.client_request.id)
-        if request is None or request.client_request is not spec.client_request:
+        request = self._state.requests.by_id.get(attempt_request.client_request.id)
+        if request is None or request.client_request is not attempt_request.client_request:
             return None
         if request.attempt is attempt:
             request.attempt = None
@@ -134,16 +143,16 @@
         """Count an attempt that has ended as in flight for another ``hold_ms``; the router learns nothing from it."""
         # "moot" is the result from which the router learns nothing.
         message = AttemptFinished(attempt, AttemptResult("moot"))
-        self.in_flight[attempt.spec.client_request.id, attempt.spec.number] = attempt
+        self.in_flight[attempt.attempt_request.client_request.id, attempt.attempt_request.number] = attempt
         self._clock.call_later(hold_ms, lambda: self._post(message))
 
     def notify_services(self, attempt: InFlightAttempt, result: AttemptResult, elapsed_ms: float) -> None:
         """Pass the result of an attempt to the optional services."""
         gate, observer = self._services.quota_gate, self._services.observer
         if attempt.may_have_been_sent and gate is not None:
-            gate.attempt_ended(attempt.spec, result)
+            gate.attempt_ended(attempt.attempt_request, result)
         if observer is not None and (attempt.may_have_been_sent or result.result == "connect_failed"):
-            observer.attempt_ended(attempt.spec, result, elapsed_ms)
+            observer.attempt_ended(attempt.attempt_request, result, elapsed_ms)
 
     def cancel_all(self) -> list[asyncio.Task[None]]:
         """Cancel all attempts in flight and return their tasks, for the caller to await."""
@@ -153,8 +162,8 @@
         return tasks
 
     def _reject(self, request: OpenRequest, number: int, backend: Backend) -> None:
-        spec = AttemptRequest(request.client_request, number, backend, "", 0.0)
-        attempt = InFlightAttempt(spec, self._clock.now_ms())
+        attempt_request = AttemptRequest(request.client_request, number, backend, "", 0.0)
+        attempt = InFlightAttempt(attempt_request, self._clock.now_ms())
         self._post(AttemptFinished(attempt, AttemptResult("moot")))
 
     def _build_attempt_request(
@@ -212,7 +221,9 @@
             sent_log = self._services.sent_log
             if sent_log is not None and not await self._record_send(sent_log, request):
                 return
-            attempt.result = await request.executor.execute(attempt.spec, lambda: self._may_send(request, attempt))
+            attempt.result = await request.executor.execute(
+                attempt.attempt_request, lambda: self._may_send(request, attempt)
+            )
         except asyncio.CancelledError:
             # An attempt whose first byte was not sent has certainly not run, and says nothing about the backend.
             attempt.result = AttemptResult(
@@ -224,8 +235,8 @@
             self._counters.add("fault.carrier")
             log.exception(
                 "attempt failed with an exception: request=%s attempt=%d",
-                attempt.spec.client_request.id,
-                attempt.spec.number,
+                attempt.attempt_request.client_request.id,
+                attempt.attempt_request.number,
             )
             attempt.result = AttemptResult("error")
 
--- a/beechslip/core/endpoint_table.py
+++ b/beechslip/core/endpoint_table.py
@@ -78,11 +78,11 @@
 
 def _log_backends(kind: str, backends: tuple[Backend, ...]) -> None:
     if len(backends) > MAX_LOGGED_BACKENDS:
-        log.info("%d backends listed (%s)", len(backends), kind)
+        log.info("endpoint list received: %d backends, kind=%s", len(backends), kind)
         return
     for backend in backends:
         log.info(
-            "endpoint list entry: backend %s %s zone=%s kind=%s state=%s weight=%g started_ms=%.0f",
+            "endpoint list entry: backend=%s address=%s zone=%s kind=%s state=%s weight=%g started_ms=%.0f",
             backend.name,
             backend.address,
             backend.zone,
--- a/beechslip/core/engine.py
+++ b/beechslip/core/engine.py
@@ -278,23 +278,23 @@
     # Results of attempts --------------------------------------------------------------------------
 
     def _on_attempt_finished(self, attempt: InFlightAttempt, result: AttemptResult) -> None:
-        spec = attempt.spec
+        attempt_request = attempt.attempt_request
         now_ms = self.clock.now_ms()
         request = self._attempts.finish(attempt, result)
         if result.result == "handed_out":
             if request is not None:
                 self._finish_request(request, FinalResponse("served"))
-                self._notify_router(None, interface.ClientGone(spec.client_request.id))
+                self._notify_router(None, interface.ClientGone(attempt_request.client_request.id))
             self._attempts.keep_in_flight(attempt, result.hold_ms)
             return
         if request is not None and result.result == "ok":
             self._finish_request(request, FinalResponse("served", result.payload))
         # Only the time on the wire, from first byte to last: waits in this process must not make a backend look slow.
         elapsed_ms = max((result.ended_ms or now_ms) - attempt.sent_ms, 0.0)
-        outcome = to_outcome_event(spec, result, elapsed_ms, has_request_ended=request is None)
+        outcome = to_outcome_event(attempt_request, result, elapsed_ms, has_request_ended=request is None)
         self._attempts.notify_services(attempt, result, elapsed_ms)
-        self._responder.log_attempt(spec, result, elapsed_ms)
-        self._notify_router(spec.client_request.id, outcome)
+        self._responder.log_attempt(attempt_request, result, elapsed_ms)
+        self._notify_router(attempt_request.client_request.id, outcome)
 
     # Endpoint lists and purges --------------------------------------------------------------------
 
--- a/beechslip/core/guards.py
+++ b/beechslip/core/guards.py
@@ -121,7 +121,7 @@
     state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float
 ) -> GuardVerdict:
     """Forbid sending to a backend that is draining, gone, or listed at another address (clauses 3.14, 3.29, 4.7)."""
-    requested = attempt.spec.backend
+    requested = attempt.attempt_request.backend
     listed = state.backends.get(requested.name)
     if listed is None or listed.state != "ready" or listed.address != requested.address:
         return GuardVerdict.BACKEND_NOT_READY
@@ -130,7 +130,7 @@
 
 def source_is_ready(state: GuardState, request: OpenRequest, attempt: InFlightAttempt, now_ms: float) -> GuardVerdict:
     """Forbid a fill from a source that is draining or gone (clause 4.7)."""
-    name = attempt.spec.source
+    name = attempt.attempt_request.source
     if not name:
         return ALLOWED
     source = state.backends.get(name)
@@ -163,7 +163,7 @@
     If they have room, this spends quota, only once for each attempt.
     """
     gate = state.services.quota_gate
-    if attempt.may_have_been_sent or gate is None or gate.spend(attempt.spec, request.attempts_sent > 0):
+    if attempt.may_have_been_sent or gate is None or gate.spend(attempt.attempt_request, request.attempts_sent > 0):
         return ALLOWED
     return GuardVerdict.QUOTA_EXHAUSTED
 
--- a/beechslip/core/model.py
+++ b/beechslip/core/model.py
@@ -114,7 +114,7 @@
 class AttemptExecutor(Protocol):
     """Carries out attempts. If ``execute`` is cancelled, it gives its connection back before it ends."""
 
-    async def execute(self, spec: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
+    async def execute(self, attempt_request: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
         """Send the request to the backend and return how the attempt ended.
 
         Call ``may_start`` right before sending the first byte; if it returns False, nothing may be sent. Once it has
--- a/beechslip/core/responses.py
+++ b/beechslip/core/responses.py
@@ -59,15 +59,15 @@
                 client_request.size_kb,
             )
 
-    def log_attempt(self, spec: AttemptRequest, result: AttemptResult, elapsed_ms: float) -> None:
+    def log_attempt(self, attempt_request: AttemptRequest, result: AttemptResult, elapsed_ms: float) -> None:
         """Log at DEBUG how an attempt ended, which explains what the router does next with its request."""
         if log.isEnabledFor(logging.DEBUG):
             log.debug(
                 "%s attempt %d at %s from %s: %s %s after %.0f ms",
-                spec.client_request.id,
-                spec.number,
-                spec.backend.name,
-                spec.source or "-",
+                attempt_request.client_request.id,
+                attempt_request.number,
+                attempt_request.backend.name,
+                attempt_request.source or "-",
                 result.result,
                 result.note or "-",
                 elapsed_ms,
--- a/beechslip/core/services.py
+++ b/beechslip/core/services.py
@@ -12,7 +12,7 @@
 class QuotaGate(Protocol):
     """This proxy's share of the fleet-wide quotas. Its methods never raise and never block."""
 
-    def spend(self, spec: AttemptRequest, is_retry: bool) -> bool:
+    def spend(self, attempt_request: AttemptRequest, is_retry: bool) -> bool:
         """Spend quota on an attempt and return True, or return False if the quotas have no room for it.
 
         The engine calls this right before the attempt's first byte, as the last of the send guards. ``is_retry`` is
@@ -20,7 +20,7 @@
         """
         ...
 
-    def attempt_ended(self, spec: AttemptRequest, result: AttemptResult) -> None:
+    def attempt_ended(self, attempt_request: AttemptRequest, result: AttemptResult) -> None:
         """Take the result of an attempt that ``spend`` has allowed."""
         ...
 
@@ -61,7 +61,7 @@
     Its methods never raise and never block.
     """
 
-    def attempt_ended(self, spec: AttemptRequest, result: AttemptResult, elapsed_ms: float) -> None:
+    def attempt_ended(self, attempt_request: AttemptRequest, result: AttemptResult, elapsed_ms: float) -> None:
         """Take the result of an attempt that was sent, or that could not connect.
 
         ``elapsed_ms`` is its time on the wire, from the first byte sent to the last byte received.
--- a/beechslip/dns/lookup.py
+++ b/beechslip/dns/lookup.py
@@ -49,10 +49,10 @@
         self._on_answered = on_answered
         self.is_answered = False
 
-    async def execute(self, attempt: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
+    async def execute(self, attempt_request: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
         """Hand out the attempt's backend; see ``AttemptExecutor``."""
         try:
-            response = messages.backend_response(self._query, self._question, attempt.backend.address)
+            response = messages.backend_response(self._query, self._question, attempt_request.backend.address)
         except ValueError:
             return AttemptResult("connect_failed")  # a backend without an IPv4 address can't be handed out
         if not may_start():  # also false if the client has left
--- a/beechslip/platform/backend_messages.py
+++ b/beechslip/platform/backend_messages.py
@@ -11,7 +11,7 @@
 MAX_RESPONSE_BODY_BYTES = 240_000  # largest object that is accepted
 MAX_LOAD_REPORT_VALUES = 16  # values read from one load report
 
-# The values of X-Result, each with the note that the decision module uses for it.
+# The values of X-Result, each with the note that the router uses for it.
 NOTE_BY_X_RESULT = {
     "local": "hit",
     "pulled": "filled",
@@ -24,15 +24,15 @@
     "no_place": "no_place",
     "far_fault": "origin_failed",
 }
-# The notes that the decision module may see, by the site's setting ``tells``.
+# The notes that the router may see, by the site's setting ``tells``.
 VISIBLE_NOTES_BY_SETTING = {
     "all": frozenset(NOTE_BY_X_RESULT.values()),
     "hit": frozenset({"hit", "filled", "joined", "stale"}),
     "": frozenset[str](),
 }
-# The names of X-Stats, each with the name that the decision module uses for it. X-Stats names the figures as the
-# settings do: a site may say `util` or `cpu` for the same figure. A name that is missing here would hide the figure
-# from the module.
+# The names of X-Stats, each with the name that the router uses for it. X-Stats names the figures as the settings do:
+# a site may say `util` or `cpu` for the same figure. A name that is missing here would hide the figure from the
+# router.
 LOAD_REPORT_NAMES = {
     "util": "busy",
     "cpu": "busy",
@@ -86,7 +86,7 @@
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """Parse a load report such as ``inflight:7;util:0.61`` into the module's names. Invalid items are skipped."""
+    """Parse a load report such as ``inflight:7;util:0.61`` into the router's names. Invalid items are skipped."""
     report = dict[str, float]()
     for item in text.split(";"):
         name, _, value = item.partition(":")
--- a/beechslip/platform/backends.py
+++ b/beechslip/platform/backends.py
@@ -164,14 +164,16 @@
             return False
         return previous.body == current.body and previous.digest == current.digest
 
-    async def execute(self, attempt: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
+    async def execute(self, attempt_request: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
         """Carry out an attempt; see ``AttemptExecutor``.
 
         ``may_start`` is called right before the first byte is written.
         """
-        request = attempt.client_request
+        request = attempt_request.client_request
         received = await self._exchange(
-            attempt.backend, lambda: attempt_request_bytes(attempt, self._remaining_ms(attempt)), may_start
+            attempt_request.backend,
+            lambda: attempt_request_bytes(attempt_request, self._remaining_ms(attempt_request)),
+            may_start,
         )
         if isinstance(received, AttemptResult):
             return received
@@ -189,9 +191,9 @@
         result.ended_ms = received.read_ms
         return result
 
-    def _remaining_ms(self, attempt: AttemptRequest) -> float:
+    def _remaining_ms(self, attempt_request: AttemptRequest) -> float:
         """Return how long the attempt may still last. Its backend gets no more time than its client has left."""
-        return min(attempt.timeout_ms, attempt.timeout_at_ms - self._clock.now_ms())
+        return min(attempt_request.timeout_ms, attempt_request.timeout_at_ms - self._clock.now_ms())
 
     async def health_check(self, backend: Backend, may_start: Callable[[], bool] = lambda: True) -> AttemptResult:
         """Request a backend's health page.
--- a/beechslip/platform/changelog.py
+++ b/beechslip/platform/changelog.py
@@ -26,7 +26,8 @@
 
 log = logging.getLogger("beechslip.changelog")
 
-# The log sends a comment each second. Events that a stopped log would have sent count as notified after 4 s.
+# Seconds without received bytes after which the reader reconnects. The log sends a comment each second. Events that a
+# stopped log would have sent count as notified after 4 s.
 SILENCE_TIMEOUT_S = 1.8
 RECONNECT_DELAY_S = 0.1  # delay between two connections
 CONNECT_TIMEOUT_S = 0.8
@@ -110,7 +111,8 @@
         watch_task = asyncio.ensure_future(self._watch_once(session))
         address_change_task = asyncio.ensure_future(self._address_changed.wait())
         try:
-            # A log that has moved sends nothing more at its old address, but stays open for a while.
+            # A log that has moved sends nothing more at its old address, but keeps its connections there open for a
+            # while.
             await asyncio.wait({watch_task, address_change_task}, return_when=asyncio.FIRST_COMPLETED)
             if watch_task.done():
                 watch_task.result()
--- a/beechslip/platform/client_connection.py
+++ b/beechslip/platform/client_connection.py
@@ -14,7 +14,7 @@
 from beechslip.platform.client_requests import BadRequestError
 from beechslip.platform.sockets import RetryingSocket
 
-# Reads that follow one another within this many milliseconds bring parts of bytes that had been waiting together.
+# A read within this many milliseconds of the previous one is taken for a part of the same burst of waiting bytes.
 SAME_BURST_MS = 20.0
 MAX_READ_AHEAD_BYTES = 65_536  # bytes that a client may send ahead while aiohttp's queue of requests is full
 REQUEST_END = b"\r\n\r\n"  # end of a request without a body
@@ -193,9 +193,8 @@
         now_ms = self._owner.clock.now_ms()
         failing_ms = self._sock.take_read_delay_ms() if self._sock is not None else 0.0
         blocked_ms = max(failing_ms, self._owner.loop_stall_ms())
-        if (
-            now_ms - self._previous_read_ms < SAME_BURST_MS
-        ):  # parts of one burst that waited together, as reads may be short
+        if now_ms - self._previous_read_ms < SAME_BURST_MS:
+            # One read may take only a part of a burst, and all parts have waited equally long.
             blocked_ms = max(blocked_ms, self._read_delay_ms)
         self._previous_read_ms = now_ms
         self._read_delay_ms = blocked_ms
--- a/beechslip/platform/client_requests.py
+++ b/beechslip/platform/client_requests.py
@@ -91,7 +91,7 @@
         raise BadRequestError(400, "Req-Wait-Ms is out of range: it exceeds the longest wait that is allowed")
     size_kb = float(_parse_field(headers, "Req-Kb", _NUMBER, "0"))
     if rule.deadline and size_kb > settings.flow_kb_s * rule.deadline * MAX_TRANSFER_TO_DEADLINE_RATIO > 0:
-        # Such a size would distort the decision module's mean sizes.
+        # Such a size would distort the router's mean transfer times.
         raise BadRequestError(400, "Req-Kb is out of range: its transfer would far exceed the deadline")
     match = _ETAG.match(headers.get("If-None-Match", "").strip())
     group = int(_parse_field(headers, "X-Set", _INTEGER, "0"))
@@ -121,7 +121,7 @@
     rule = settings.classes.get(unquote(pieces[2]))
     name = unquote(pieces[3])
     if rule is None or not name or not name.isprintable() or "/" in name or len(name) > MAX_OBJECT_NAME_LENGTH:
-        raise BadRequestError(404, "unknown class, or invalid object name")
+        raise BadRequestError(404, "unknown class, or invalid object name: expected a printable name without '/'")
     return rule, name
 
 
--- a/beechslip/platform/connection_pool.py
+++ b/beechslip/platform/connection_pool.py
@@ -169,8 +169,9 @@
         return connection
 
     def release(self, connection: BackendConnection) -> None:
-        """Take back a connection whose request is over. It becomes idle, or is closed if it can't carry another
-        request.
+        """Take back a connection whose request is over.
+
+        It becomes idle, or is closed if it can't carry another request.
         """
         if not connection.is_open or not self._is_listed(connection.key):
             connection.abort()
@@ -209,7 +210,9 @@
             self._wake_waiters(backend)
 
     def _wake_waiters(self, backend: str) -> None:
-        """Wake the first caller that waits for the limiter at this backend, and the first that waits for a place in
+        """Wake two callers, if there are any.
+
+        One is the first that waits for the limiter at this backend, the other the first that waits for a place in
         the pool.
         """
         for queue in (self._limiter_waiters.get(backend), self._pool_waiters):
--- a/beechslip/platform/front.py
+++ b/beechslip/platform/front.py
@@ -115,7 +115,7 @@
 
         Raises OSError if the address is not available.
         """
-        # Binding the address again would fail an upgrade: it is in use while the platform holds its socket.
+        # Binding the address again would make an upgrade fail: it is in use while the platform holds its socket.
         sock = await open_listening_socket(listen, LISTEN_BACKLOG) if fd is None else socket.socket(fileno=fd)
         if fd is not None:
             sock.listen(LISTEN_BACKLOG)
@@ -125,7 +125,7 @@
         self._record_loop_run()
 
     def divert_clients(self) -> None:
-        """Tell clients to leave because an operator drains this proxy: /health says no until ``readmit_clients``.
+        """Tell clients to leave because an operator drains this proxy: /health returns 503 until ``readmit_clients``.
 
         Some requests still arrive and are served. Connections are closed once no new ones are expected.
         """
--- a/beechslip/platform/history.py
+++ b/beechslip/platform/history.py
@@ -1,8 +1,8 @@
 """A file of the fleet's events, as one JSON object per line, for the lab's checkers and for investigations.
 
 Each line has ``t`` (steady ms of this machine), ``member``, ``life`` (the member's incarnation), ``kind`` and the
-event's own fields. A line is written by one call, and nothing waits for it. A full disk loses lines, which
-``history.lost`` counts, and has no other effect.
+event's own fields. A line is written by one call, and nothing waits for it. If the disk is full, lines are
+lost and counted by ``history.lost``, with no other effect.
 """
 
 from __future__ import annotations
--- a/beechslip/platform/server.py
+++ b/beechslip/platform/server.py
@@ -24,7 +24,7 @@
 REQUEST_READ_TIMEOUT_MS = 2_200.0
 IDLE_TIMEOUT_MS = 5_000.0  # after a response; clients close after 4 s, but some never close
 LOOP_CHECK_INTERVAL_MS = 25.0  # interval at which the event loop records that it runs
-STALL_THRESHOLD_MS = 25.0  # a record that is later than this indicates a stall
+STALL_THRESHOLD_MS = 25.0  # a record that is late by more than this indicates a stall
 AFTER_STALL_WINDOW_MS = 20.0  # within this time after a stall, everything that waited is read
 # aiohttp's own timer, in seconds. It is not needed here, because ``close_expired`` closes idle connections.
 AIOHTTP_KEEPALIVE_S = 86_400.0
@@ -78,8 +78,8 @@
     def record_loop_run(self) -> None:
         """Record that the event loop runs. This must be called every LOOP_CHECK_INTERVAL_MS.
 
-        A process that was stopped while it waited for events runs its timers first. It reads what arrived meanwhile
-        after them. A late record therefore notes the stall for the reads that follow it.
+        A process that was stopped while it waited for events runs its timers first, and only then reads what has
+        arrived in the meantime. A late record therefore notes the stall for the reads that follow it.
         """
         now_ms = self.clock.now_ms()
         if self._is_stall(now_ms):
--- a/beechslip/platform/watch_events.py
+++ b/beechslip/platform/watch_events.py
@@ -115,11 +115,14 @@
 def parse_endpoint(entry: Any) -> Backend:
     """Return a backend from its entry in the endpoint list. Raises BadEventError."""
     if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
-        raise BadEventError("an endpoint has no name")
+        raise BadEventError("an endpoint has no name: expected a string 'name'")
     state = STATE_BY_STATUS.get(str(entry.get("status")))
     address = entry.get("address")
     if state is None or (not isinstance(address, str) and state != "gone"):
-        raise BadEventError(f"endpoint {entry['name']!r:.60} has an invalid status or address")
+        raise BadEventError(
+            f"endpoint {entry['name']!r:.60} has an invalid status or address: "
+            "expected active, leaving or left, and an address unless it has left"
+        )
     return Backend(
         name=entry["name"],
         address=str(address or ""),
--- a/beechslip/routing/adapter.py
+++ b/beechslip/routing/adapter.py
@@ -68,7 +68,7 @@
     def _handle(self, proxy: int, event_type: str, message: Message) -> list[Message]:
         router = self.routers.get(proxy)
         if router is None:
-            raise WireError(f"{event_type}: unknown instance number {proxy}")
+            raise WireError(f"{event_type}: unknown instance number {proxy}: expected a launched instance")
         if event_type == "PEERS_KNOWN":
             event: i.Event = self._read_endpoint_list(message)
         else:
@@ -85,7 +85,7 @@
             return i.EndpointList(kind)
         bank = required_member(message, "bank", int)
         if bank not in self.lists:
-            raise WireError(f"PEERS_KNOWN: unknown list number {bank}")
+            raise WireError(f"PEERS_KNOWN: unknown list number {bank}: expected one given by LIST")
         return i.EndpointList(kind, self.lists[bank])
 
 
@@ -95,7 +95,7 @@
     Raises:
         WireError: a line is not a valid message; the text names the line number.
     """
-    simulator = SimulatorAdapter()
+    adapter = SimulatorAdapter()
     reply: list[str] = []
     for number, line in enumerate(source, 1):
         if not line.strip():
@@ -103,7 +103,7 @@
         message = _parse(number, line)
         if message.get("event_type") != "YOUR_TURN":
             try:
-                actions = simulator.handle_message(message)
+                actions = adapter.handle_message(message)
             except WireError as error:
                 raise WireError(f"line {number}: {error}") from None
             reply += [json.dumps(action, separators=(",", ":")) for action in actions]
--- a/beechslip/routing/admission.py
+++ b/beechslip/routing/admission.py
@@ -14,7 +14,7 @@
 from beechslip.routing.state import Backend, OpenRequest
 
 SHEDDING_STARTS_AT = 0.5  # utilization above which the requests of the lowest density are rejected
-SHEDDING_COMPLETE_AT = 1.25  # utilization at which all are, except for the guaranteed shares
+SHEDDING_COMPLETE_AT = 1.25  # utilization at which all are rejected, except for the guaranteed shares
 # Transfers in progress, as a multiple of those that the link carries at full speed. Above this ratio another
 # cache is faster.
 OVERLOADED_LINK_RATIO = 1.5
@@ -53,8 +53,9 @@
         """Return whether a miss of this request may be filled from ``source``.
 
         While fills are late, requests of low density get cached-only attempts: to serve a copy that the cache
-        holds takes no capacity of the links between the tiers. This applies to full links, a slow origin and
-        mass purges. The cost is that a cached-only attempt for a missing copy is rejected at once.
+        holds takes no capacity of the links between the tiers. Fills are late when links are full, when the
+        origin is slow, and after mass purges. The cost is that a cached-only attempt for a missing copy is
+        rejected at once.
         """
         fraction = self._limits.fill_throttle(source).fraction
         is_accepted_by_density = (
@@ -114,8 +115,9 @@
     def record_hit_time(self, cache: Backend, request: OpenRequest, elapsed: float) -> None:
         """Use the duration of a hit as a load report where the link capacity is unknown.
 
-        Small hits are on time at a transfer rate at which the largest never end. The cost is that congestion
-        goes unnoticed where all hits are small.
+        The latency objectives alone would not show congestion: at a transfer rate at which small hits are
+        still on time, the largest hits never end. The cost is that congestion goes unnoticed where all hits
+        are small.
         """
         is_too_small = not request.event.size_kb or request.transfer_time < MIN_TIMED_HIT_S
         if is_too_small or self._link_capacity(cache) > 0:
--- a/beechslip/routing/cancellation.py
+++ b/beechslip/routing/cancellation.py
@@ -16,7 +16,7 @@
     def __init__(
         self, context: RoutingContext, requests: RequestTable, selector: RouteSelector, retries: RetryPolicy
     ) -> None:
-        """Create the cancellation of attempts in ``requests``."""
+        """Create a component that cancels attempts in ``requests``."""
         self._context = context
         self._requests = requests
         self._selector = selector
--- a/beechslip/routing/concurrency.py
+++ b/beechslip/routing/concurrency.py
@@ -11,7 +11,7 @@
 
 FILL_FAULT_NOTES = frozenset({"source_lost", "source_lacks", "source_refused", "no_place", "origin_failed"})
 MIN_CONCURRENCY_LIMIT = 2.0  # attempts in flight; fewer could not show that a backend has recovered
-LIMIT_GROWTH = 2.0  # increase of a limit after as many timely answers as it permits attempts
+LIMIT_GROWTH = 2.0  # increase of a limit over a number of timely answers that equals the limit
 LIMIT_CUT_FACTOR = 0.8  # factor applied when too many answers are late
 ORIGIN_FILL_CUT_FACTOR = 0.5  # the same for fills that come directly from the origin
 TOLERATED_LATE_ANSWERS = 0.1  # fraction of late answers above which a cache's limit is cut
--- a/beechslip/routing/freshness.py
+++ b/beechslip/routing/freshness.py
@@ -14,7 +14,7 @@
 
 DEFAULT_PROPAGATION_S = 60.0  # s until a purge has reached every backend, if the site does not state it
 PROPAGATION_MARGIN_S = 1.0  # s, leaves time for a few more renewals
-MAX_PURGES = 50_000  # older ones become one limit for all objects, which is safe but costs fills
+MAX_PURGES = 50_000  # the oldest beyond it become one limit for all objects, which is safe but costs fills
 
 
 class PurgeLog:
--- a/beechslip/routing/health.py
+++ b/beechslip/routing/health.py
@@ -12,18 +12,18 @@
 from beechslip.routing.tallies import DECAY_TIME_S
 from beechslip.routing.timers import HealthCheckDue, TimerTable
 
-MAX_CONNECTION_FAILURES = 2  # in a row that eject; one may be chance, a third would only cost another request
+MAX_CONNECTION_FAILURES = 2  # in a row; a single one may be chance, and waiting for a third costs a request
 RECENT_ANSWER_S = 0.3  # s after an answer in which a backend counts as running despite broken connections
 OVERDUE_PER_HEALTH_CHECK = 3  # overdue attempts in a row at a silent backend that cause a health check
 MAX_OVERDUE_WITH_CHECKS = 9  # overdue attempts in a row that eject, whatever the health checks show
 FIRST_EJECTION_S = 0.5  # s, duration of the first ejection; each further one lasts twice as long
 MAX_EJECTION_S = 8.0  # s, the longest ejection; a fault may last 30 s
-EJECTION_JITTER = (0.9, 1.1)  # range of a random factor, so that not all proxies return at once
+EJECTION_JITTER = (0.9, 1.1)  # range of a random factor, so that not all proxies try a backend at once
 # Successful trials required where one proves little: after ejection as an error outlier, and for a parent
 # where notes are missing and a hit looks like a fill.
 REPEATED_TRIALS = 4
 OUTLIER_FACTOR = 2.0  # an outlier fails this many times as often as its peers; else the cause may be shared
-OUTLIER_DEVIATIONS = 3.0  # standard deviations above that, since few attempts prove little
+OUTLIER_DEVIATIONS = 3.0  # standard deviations added to that, because few attempts prove little
 ASSUMED_PEER_FAILURES = 0.5  # failures of the peers, assumed in addition to those recorded
 ASSUMED_PEER_ANSWERS = 4.0  # answers of the peers, assumed in addition to those recorded
 MIN_OUTLIER_FAILURES = 2.0  # failures that may occur by chance
@@ -182,8 +182,8 @@
         successes = backend.successes.value_at(now)
         peer_failures = sum(p.failures.value_at(now) for p in peers)
         peer_answers = peer_failures + sum(p.successes.value_at(now) for p in peers)
-        failure_rate = (failures + successes) * (peer_failures + ASSUMED_PEER_FAILURES)
-        expected = failure_rate / (peer_answers + ASSUMED_PEER_ANSWERS)
+        scaled_peer_failures = (failures + successes) * (peer_failures + ASSUMED_PEER_FAILURES)
+        expected = scaled_peer_failures / (peer_answers + ASSUMED_PEER_ANSWERS)
         allowance = CACHE_FAILURE_ALLOWANCE * is_cache
         max_failures = OUTLIER_FACTOR * expected + OUTLIER_DEVIATIONS * math.sqrt(expected) + allowance
         return failures > max(max_failures, MIN_OUTLIER_FAILURES) and bool(peers)
--- a/beechslip/routing/interface.py
+++ b/beechslip/routing/interface.py
@@ -133,7 +133,8 @@
 
     ``result`` is one of ok, error, full, timeout, connect_failed, reset, cancelled, moot and miss.
     ``note`` is one of hit, filled, filled_origin, joined, stale, source_refused, source_lost, source_lacks,
-    no_place and origin_failed, or empty.
+    no_place and origin_failed, or empty. ``finished`` is True if the request needs no further attempt.
+    ``report`` is the load report that came with the answer, by the names of its figures.
     """
 
     request: str
--- a/beechslip/routing/placement.py
+++ b/beechslip/routing/placement.py
@@ -2,8 +2,8 @@
 
 The score of a backend for a key is ``log(u) / weight``, where ``u`` is the hash of the pair as a number in
 (0, 1). The backend with the highest score is the key's home (weighted rendezvous hashing). When a backend
-leaves, only its own keys move. All hashes of a key are computed at once, as 64-bit lanes of one large
-integer.
+leaves, only its own keys move. All hashes of a key are computed at once, as 64-bit values in the lanes
+of one large integer.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def to_unit_interval(value: int) -> float:
-    """Map a 64-bit number to the middle of its step in (0, 1), so that its logarithm exists."""
+    """Map a 64-bit number to the middle of one of 2**64 steps in (0, 1), so that its logarithm exists."""
     return (value + 0.5) / 2.0**64
 
 
--- a/beechslip/routing/retries.py
+++ b/beechslip/routing/retries.py
@@ -30,7 +30,7 @@
         self.budget = MAX_BUDGET  # retries
 
     def record_new_request(self) -> None:
-        """Add a new request's part to the budget."""
+        """Add ``BUDGET_PER_REQUEST`` to the budget for a new request."""
         self.budget = min(self.budget + BUDGET_PER_REQUEST, MAX_BUDGET)
 
     def refund_retry(self) -> None:
--- a/beechslip/routing/tallies.py
+++ b/beechslip/routing/tallies.py
@@ -5,7 +5,7 @@
 import math
 
 DECAY_TIME_S = 4.0  # s; spans tens of attempts at a quiet cache, and is short against a fault of 5 to 30 s
-FILL_GROWTH_PER_S = 2.0  # times the tolerated late fraction, gained by a second of timely fills
+FILL_GROWTH_PER_S = 2.0  # growth in a second of timely fills, as a multiple of the tolerated late fraction
 MIN_FILL_FRACTION = 0.03  # of requests, which may always fill; without any a recovery would go unnoticed
 
 
--- a/beechslip/routing/wire/events.py
+++ b/beechslip/routing/wire/events.py
@@ -78,7 +78,7 @@
 
 def _read_entry(entry: object) -> i.Endpoint:
     if not isinstance(entry, dict):
-        raise WireError("LIST: an entry of 'membersList' is not an object")
+        raise WireError("LIST: an entry of 'membersList' is not an object: expected a JSON object")
     state = ENDPOINT_STATES.get(required_member(entry, "condition", str))
     if state is None:
         raise WireError(f"LIST: unknown condition {entry['condition']!r:.40}: expected on, fading or off")
@@ -96,7 +96,10 @@
 def _read_result(message: Message) -> str:
     result = RESULTS.get(required_member(message, "stateCode", str))
     if result is None:
-        raise WireError(f"{message['event_type']}: unknown stateCode {message['stateCode']!r:.40}")
+        raise WireError(
+            f"{message['event_type']}: unknown stateCode {message['stateCode']!r:.40}: expected pass, fault, "
+            "no_room, too_slow, no_route, cut, undone, stale_send or none_here"
+        )
     return result
 
 
--- a/tests/core/test_guards.py
+++ b/tests/core/test_guards.py
@@ -44,7 +44,7 @@
     has_room: bool
     spent: int = 0
 
-    def spend(self, spec: AttemptRequest, is_retry: bool) -> bool:
+    def spend(self, attempt_request: AttemptRequest, is_retry: bool) -> bool:
         self.spent += 1
         return self.has_room
 
@@ -71,8 +71,8 @@
     state = GuardState(OpenRequestTable(), backends, PurgeMemory(), OptionalServices())
     request = OpenRequest(RequestReceived(client_request, executor, response_sink), SETTINGS)
     state.requests.add(request)
-    spec = AttemptRequest(client_request, 0, backends["cache"], "hub", timeout_ms=400.0)
-    attempt = InFlightAttempt(spec, REQUESTED_MS)
+    attempt_request = AttemptRequest(client_request, 0, backends["cache"], "hub", timeout_ms=400.0)
+    attempt = InFlightAttempt(attempt_request, REQUESTED_MS)
     request.attempt = attempt
     return GuardCase(state, request, attempt)
 
