--- a/beechslip/core/engine.py
+++ b/beechslip/core/engine.py
@@ -182,7 +182,8 @@
     def _start_attempt(self, action: interface.Attempt) -> None:
         request = self._requests.by_id.get(action.request)
         if request is None:
-            # The request has ended, so the attempt's number is not known here; the router's own count is enough.
+            # The request has ended, so the attempt's number is not known here, and no result can be posted. The
+            # router counts its attempts itself.
             self.counters.add("attempt.late")
             return
         self._attempts.start(request, action, self.settings)
--- a/beechslip/core/model.py
+++ b/beechslip/core/model.py
@@ -141,7 +141,7 @@
 class ResponseSink(Protocol):
     """Takes the one final response to a request. Its methods never raise and never block."""
 
-    def answer(self, response: FinalResponse) -> None:
+    def answer(self, final_response: FinalResponse) -> None:
         """Send the response to the client."""
         ...
 
--- a/beechslip/dns/front.py
+++ b/beechslip/dns/front.py
@@ -71,7 +71,9 @@
         loop = asyncio.get_running_loop()
         listen = self._config.listen
         for attempts_left in reversed(range(MAX_PORT_ATTEMPTS if listen.port == 0 else 1)):
-            tcp = Listener(await open_listening_socket(listen, LISTEN_BACKLOG), self._tcp_protocol, self._counters)
+            tcp = Listener(
+                await open_listening_socket(listen, LISTEN_BACKLOG), self._create_tcp_protocol, self._counters
+            )
             self.port = tcp.port
             try:
                 self._udp_transport, _ = await loop.create_datagram_endpoint(
@@ -190,7 +192,7 @@
     def _count_response(self, rcode: dns.rcode.Rcode) -> None:
         self._counters.add(f"dns.{dns.rcode.to_text(rcode).lower()}")
 
-    def _tcp_protocol(self, _: object) -> asyncio.BaseProtocol:
+    def _create_tcp_protocol(self, _: object) -> asyncio.BaseProtocol:
         return asyncio.StreamReaderProtocol(asyncio.StreamReader(), self._serve_tcp)
 
     async def _serve_tcp(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/beechslip/platform/client_connection.py
+++ b/beechslip/platform/client_connection.py
@@ -207,10 +207,10 @@
             self._queued_received_ms.popleft() if self._queued_received_ms else self.last_read_ms
         )
 
-    def request_received(self, *, body: bool) -> None:
+    def request_received(self, *, has_body: bool) -> None:
         """Note that the current request has been read completely, with or without a body, and is being handled."""
         self.is_handling_request = True
-        if body:  # the end of the body is not known here; bytes behind it show up as further input
+        if has_body:  # the end of the body is not known here; bytes behind it show up as further input
             self.request_received_ms = self.last_read_ms
             self._last_bytes = REQUEST_END
 
--- a/beechslip/platform/confine.py
+++ b/beechslip/platform/confine.py
@@ -41,7 +41,7 @@
 )
 SOCKET_EVENT = "socket.__new__"
 # Allowed socket families: IPv4 for TCP and UDP, and the unnamed pairs of socketpair, by which the event loop is
-# woken.
+# woken. The audit event gives -1 for a socket that is created without a family, for example from a descriptor.
 ALLOWED_FAMILIES = frozenset({int(socket.AF_INET), int(socket.AF_UNIX), -1})
 NOSENDFILE_VARIABLE = "AIOHTTP_NOSENDFILE"
 MAX_RECORDED_CALLS = 64  # limits the memory used to record forbidden calls
--- a/beechslip/platform/front.py
+++ b/beechslip/platform/front.py
@@ -32,8 +32,8 @@
 PENDING_WORK_TIMEOUT_MS = 2_400.0  # for a request that is being read at the drain; longer ones are closed as expired
 LISTEN_BACKLOG = 512  # connections that may wait in the kernel
 # Diverted clients keep arriving on new connections for 0.3 s: the platform checks /health every 0.1 s and uses the
-# last answer for another 0.2 s. 4 s after the operator's call, no client with a request of the last 2 s may still be
-# waiting here.
+# last answer for another 0.2 s. 4 s after the operator's call, no client whose request arrived within the last 2 s
+# may still be waiting here.
 DIVERT_CLOSE_AFTER_MS = 400.0  # time after which connections are closed once they have been answered
 DIVERT_REFUSE_AFTER_MS = 1_800.0  # time after which new requests are refused
 LAST_REQUEST_WAIT_S = 0.02  # time for the request of a connection that was accepted at the very end
@@ -230,7 +230,7 @@
             return web.Response(status=503, text="drained")
         try:
             body = await self._read_body(request)
-            connection.request_received(body=request.body_exists)
+            connection.request_received(has_body=request.body_exists)
             # The client's time runs from the request's last byte, not from when this task handles it.
             client_request = parse_client_request(
                 request.method,
--- a/beechslip/platform/ops.py
+++ b/beechslip/platform/ops.py
@@ -22,7 +22,7 @@
 EXPIRY_CHECK_INTERVAL_MS = 1_000.0  # interval between checks of the connections' time limits
 CLOSE_TIMEOUT_S = 0.2  # time for responses that are being written when the front closes
 
-OperatorAction = Callable[[], bool]  # a call without arguments; returns True if it succeeded
+OperatorAction = Callable[[], bool]  # a call without arguments; True is answered with "yes"
 StatusPage = Callable[[], Mapping[str, object]]  # returns the JSON object that the page shows
 # A call with the arguments of its query. It returns the status and text of its response.
 OperatorCall = Callable[[Mapping[str, str]], Awaitable[tuple[int, str]]]
--- a/beechslip/routing/interface.py
+++ b/beechslip/routing/interface.py
@@ -119,10 +119,10 @@
     request: str
     class_name: str
     object: str = ""
-    part: int = 0
-    group: int = 0
+    part: int = 0  # number of the requested part of the object; each part is a copy of its own
+    group: int = 0  # number of the group with which the object may be purged
     size_kb: float = 0.0
-    time_left: float = 0.0
+    time_left: float = 0.0  # time until the request must be answered
     repeat: bool = False
     conditional: bool = False  # the client has a copy, so the answer may need no bytes
 
@@ -262,7 +262,8 @@
     """Send a request to a backend and wait for ``timeout`` seconds at most.
 
     ``source`` fills a miss; if it is the backend itself, there is no fill. ``keep`` is the rank of the stored
-    copy (0: none is stored). ``max_age`` limits the copy's age (0: the class's fresh time).
+    copy (0: none is stored). ``max_age`` limits the copy's age (0: the class's fresh time). ``join`` permits
+    the backend to join the request to a fill in progress, and ``renew`` to renew a stale copy.
     """
 
     request: str
