--- a/beechslip/core/endpoint_table.py
+++ b/beechslip/core/endpoint_table.py
@@ -82,7 +82,7 @@
         return
     for backend in backends:
         log.info(
-            "endpoint list entry: backend=%s address=%s zone=%s kind=%s state=%s weight=%g started_ms=%.0f",
+            "endpoint list entry: backend %s %s zone=%s kind=%s state=%s weight=%g started_ms=%.0f",
             backend.name,
             backend.address,
             backend.zone,
