--- a/beechslip/core/endpoint_table.py
+++ b/beechslip/core/endpoint_table.py
@@ -78,7 +78,7 @@
 
 def _log_backends(kind: str, backends: tuple[Backend, ...]) -> None:
     if len(backends) > MAX_LOGGED_BACKENDS:
-        log.info("%d backends listed (%s)", len(backends), kind)
+        log.info("endpoint list received: %d backends, kind=%s", len(backends), kind)
         return
     for backend in backends:
         log.info(
--- a/beechslip/routing/interface.py
+++ b/beechslip/routing/interface.py
@@ -119,10 +119,10 @@
     request: str
     class_name: str
     object: str = ""
-    part: int = 0
-    group: int = 0
+    part: int = 0  # number of the requested part of the object; each part is a copy of its own
+    group: int = 0  # number of the group with which the object may be purged
     size_kb: float = 0.0
-    time_left: float = 0.0
+    time_left: float = 0.0  # time until the request must be answered
     repeat: bool = False
     conditional: bool = False  # the client has a copy, so the answer may need no bytes
 
@@ -133,7 +133,8 @@
 
     ``result`` is one of ok, error, full, timeout, connect_failed, reset, cancelled, moot and miss.
     ``note`` is one of hit, filled, filled_origin, joined, stale, source_refused, source_lost, source_lacks,
-    no_place and origin_failed, or empty.
+    no_place and origin_failed, or empty. ``finished`` is True if the request needs no further attempt.
+    ``report`` is the load report that came with the answer, by the names of its figures.
     """
 
     request: str
@@ -261,7 +262,8 @@
     """Send a request to a backend and wait for ``timeout`` seconds at most.
 
     ``source`` fills a miss; if it is the backend itself, there is no fill. ``keep`` is the rank of the stored
-    copy (0: none is stored). ``max_age`` limits the copy's age (0: the class's fresh time).
+    copy (0: none is stored). ``max_age`` limits the copy's age (0: the class's fresh time). ``join`` permits
+    the backend to join the request to a fill in progress, and ``renew`` to renew a stale copy.
     """
 
     request: str
