--- a/beechslip/__main__.py
+++ b/beechslip/__main__.py
@@ -8,8 +8,8 @@
 
     sys.exit(cli.main())
 
-# By default these signals end the process. Blocked, one that arrives while the program loads stays pending until the
-# proxy has installed its handlers.
+# By default these signals end the process. While they are blocked, one that arrives as the program loads stays
+# pending until the proxy has installed its handlers.
 signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP, signal.SIGUSR1])
 
 # A proxy that serves starts no other programs and does not use sendfile. Both are forbidden here, before aiohttp is
--- a/beechslip/agent/leases.py
+++ b/beechslip/agent/leases.py
@@ -167,7 +167,9 @@
         self._logged_holders[instance] = holder
         if holder:
             log.info(
-                "lease held by another agent: instance=%s holder=%s, not started or written here", instance, holder
+                "lease held by another agent, which starts the instance and writes its status: instance=%s holder=%s",
+                instance,
+                holder,
             )
 
     async def extend_periodically(self, interval_s: float) -> None:
--- a/beechslip/budgets/floors.py
+++ b/beechslip/budgets/floors.py
@@ -53,7 +53,7 @@
             self.declared = declared
 
     def zone_members(self, now_ms: float, limits: Iterable[FleetLimit]) -> int:
-        """Return among how many proxies of this zone floors are divided now.
+        """Return the number of proxies in this zone among which floors are divided now.
 
         ``limits`` are all limits that are divided.
         """
--- a/beechslip/budgets/health_check.py
+++ b/beechslip/budgets/health_check.py
@@ -37,7 +37,7 @@
 class BudgetedHealthChecker:
     """A ``HealthChecker`` for the engine whose checks wait until they get a token.
 
-    The wait has no limit. The floor of the rate supplies a token in the end.
+    The wait has no time limit, because the floor of the rate always supplies another token.
     """
 
     def __init__(self, inner: GatedHealthChecker, gate: HealthCheckGate) -> None:
--- a/beechslip/budgets/node.py
+++ b/beechslip/budgets/node.py
@@ -103,7 +103,7 @@
             quota.resize(now_ms, quota.limit, self.floor(now_ms, quota.limit))
 
     def zone_members(self, now_ms: float) -> int:
-        """Return among how many proxies of this zone floors are divided now."""
+        """Return the number of proxies in this zone among which floors are divided now."""
         return self._floors.zone_members(now_ms, self.limits.values())
 
     def floor(self, now_ms: float, limit: FleetLimit) -> float:
--- a/beechslip/budgets/part.py
+++ b/beechslip/budgets/part.py
@@ -61,7 +61,7 @@
         self.node = node
         self.plan = plan
         # Called with a backend and the most connections that it may have. The pool closes idle ones beyond that.
-        self.limit_connections: Callable[[str, float], None] = lambda backend, most: None
+        self.close_excess_idle: Callable[[str, float], None] = lambda backend, most: None
         self._clock = clock
         self._counters = counters
         self._post = post
@@ -152,7 +152,7 @@
             if kind == FILLS:
                 fills[backend] = self._capacity(now_ms, name)
             elif kind == CONNECTIONS:
-                self.limit_connections(backend, self._capacity(now_ms, name))
+                self.close_excess_idle(backend, self._capacity(now_ms, name))
         slow_start = {
             backend: self._capacity(now_ms, limit.name) * limit.warm_capacity
             for backend, limit in self.plan.slow_start_limits(self._clock.now_ms()).items()
--- a/beechslip/budgets/plan.py
+++ b/beechslip/budgets/plan.py
@@ -11,8 +11,8 @@
 | ``cold:BACKEND@STARTED`` | window | an attempt to or through a cache or hub in slow start |
 
 The amount of the limit of a backend in slow start is 1, which stands for its allowance at that moment. The allowance
-grows as the backend warms up. A spending costs its fraction of the allowance at that moment, so an earlier spending
-never counts for less than it was.
+grows as the backend warms up. A spending costs its fraction of the allowance at the moment of the spending. An
+earlier spending was measured against a smaller allowance, so it never counts for too little.
 """
 
 from __future__ import annotations
@@ -88,7 +88,7 @@
         self.backends = {backend.name: backend for backend in backends}
 
     def role(self, backend: Backend) -> Role:
-        """Return the tier to which ``backend`` belongs by its kind."""
+        """Return the role of ``backend``, which follows from its kind."""
         if self.settings.origin_kind and backend.kind == self.settings.origin_kind:
             return "origin"
         return "hub" if self.settings.parent_kind and backend.kind == self.settings.parent_kind else "cache"
--- a/beechslip/budgets/quota.py
+++ b/beechslip/budgets/quota.py
@@ -1,7 +1,7 @@
 """One proxy's quota of a fleet-wide limit: its floor, and more for a limited time by a grant. No I/O.
 
-A rate's bucket accrues tokens at the quota's part of the rate, up to its part of the burst. A larger quota adds no
-tokens, so that none is spent twice.
+A rate's bucket accrues tokens at the quota's part of the rate, up to its part of the burst. When the quota grows, no
+tokens are added to the bucket at once, so that none is spent twice.
 
 A grant ends by this proxy's own clock, and its time runs from before the grant was requested. With each request the
 proxy lends to the pool what it does not need of its floor, for :meth:`FleetLimit.loan_ms` by its own clock, counted
@@ -13,7 +13,8 @@
 the write, moves what was spent to the time by which it has been written. Later spendings then count it. A write that
 comes minutes late fits into the floor, which holds at least one spending (:meth:`FleetLimit.floor`).
 
-Invariant, whatever is lost, late, repeated or stopped: what all proxies occupy at any instant is at most the limit.
+Invariant: what all proxies occupy at any instant is at most the limit. It holds whatever messages are lost, late or
+repeated, and whichever proxies stop.
 The limit covers the sum of what each :class:`Quota` may spend and of what the allocator (:mod:`.allocator`) holds
 back while a grant may still be spent from or a spending of it may still occupy the limit.
 """
@@ -26,12 +27,12 @@
 
 from beechslip.budgets.limit import FleetLimit, FloorLoan
 
-KEPT_FLOOR_FRACTION = 0.5  # this fraction of a floor is never lent, and at least one spending
+KEPT_FLOOR_FRACTION = 0.5  # at least this fraction of a floor, and at least one spending, is never lent
 PEAK_DECAY_PER_REQUEST = 0.8  # the recent peak falls by this factor, so that a short lull does not end the demand
 LENDABLE_DECAY_PER_REQUEST = 0.985  # while the allocator answers, what is lent falls by no more than this factor
 DEMAND_HEADROOM_FACTOR = 1.25  # more is requested than was used, so that a quota is not always exhausted
-EXHAUSTED_GROWTH_FACTOR = 2.0  # times its capacity is requested by a quota that was exhausted
-LONG_PEAK_DECAY_PER_LOAN = 0.5  # of the long-term peak is left after the time of a loan
+EXHAUSTED_GROWTH_FACTOR = 2.0  # a quota that was exhausted requests its capacity times this factor
+LONG_PEAK_DECAY_PER_LOAN = 0.5  # the long-term peak falls to this fraction of it in the time of a loan
 MAX_OPEN_REQUESTS = 4  # older ones are given up, and their answers are ignored
 
 
@@ -83,7 +84,8 @@
         self.usable_from_ms = now_ms + limit.occupancy_ms() if usable_from_ms is None else usable_from_ms
         self.current_grant = QuotaGrant()
         self.counts = {"spent": 0, "refused": 0}
-        # What an earlier incarnation may have lent. It ended one occupancy time before ``usable_from_ms``.
+        # What an earlier incarnation may have lent. That incarnation ended one occupancy time before
+        # ``usable_from_ms``.
         ended_ms = self.usable_from_ms - limit.occupancy_ms()
         self._loans = [FloorLoan(floor - self._unlendable_floor(floor), ended_ms + limit.loan_ms())]
         self._spendings: deque[_OccupyingSpending] = deque()  # in a window, or whose end is on its way
@@ -318,11 +320,11 @@
         """Add the tokens of the time since the last call. A grant that ended meanwhile counts up to its end."""
         limit = self.limit
         grant = self.current_grant
-        own = self.own_floor(self._tokens_at_ms)  # floor that comes back meanwhile counts from the next call
+        own = self.own_floor(self._tokens_at_ms)  # floor whose loan ends meanwhile counts from the next call
         grant_end_ms = min(max(grant.until_ms, self._tokens_at_ms), now_ms)
         for until_ms in sorted({grant_end_ms, now_ms}):
             capacity = own + (grant.amount if until_ms <= grant.until_ms else 0.0)
-            # A second of a slow clock may last longer, so a little less accrues than the clock says.
+            # By a slower clock less time may have passed, so a little less accrues than this clock says.
             earned = capacity * (until_ms - self._tokens_at_ms) / 1000.0 / (1.0 + limit.drift)
             self._tokens = min(limit.burst * capacity / limit.amount, self._tokens + earned)
             self._tokens_at_ms = until_ms
--- a/beechslip/budgets/settings.py
+++ b/beechslip/budgets/settings.py
@@ -1,4 +1,7 @@
-"""The table ``budgets`` of ``deploy/fleet.toml``. Values that can't be divided safely are rejected by name."""
+"""The table ``budgets`` of ``deploy/fleet.toml``.
+
+A value with which limits can't be divided safely is rejected, and the error names its setting.
+"""
 
 from __future__ import annotations
 
@@ -114,16 +117,16 @@
     )
 
 
-def check_floors(config: BudgetsConfig, limits: Iterable[FleetLimit], members: int, table: str) -> None:
+def check_floors(config: BudgetsConfig, limits: Iterable[FleetLimit], members: int, file_name: str) -> None:
     """Raise ConfigError if a floor would hold less than one spending.
 
     A proxy that was suspended between its check and the write would then have no capacity of its own for the late
-    write. ``table`` is the name of the file, for the message.
+    write. ``file_name`` is named in the message.
     """
     for limit in limits:
         if limit.is_floor_too_small(members):
             raise ConfigError(
-                f"{table}: budgets: {limit.name.split('@')[0]}: a floor of {config.floor_share:g} of "
+                f"{file_name}: budgets: {limit.name.split('@')[0]}: a floor of {config.floor_share:g} of "
                 f"{limit.burst or limit.amount:g} over {limit.zone_members or members} proxies is less "
                 f"than one spending ({limit.max_cost:.3g}), raise the limit or floor_share"
             )
--- a/beechslip/clock.py
+++ b/beechslip/clock.py
@@ -61,8 +61,9 @@
     """Convert ``dated_ms``, a Unix time in ms that another machine recorded, to the scale of ``Clock.now_ms``.
 
     The result is never in the future. If the wall clock has been stepped since this clock's start, either of the two
-    may be right, so the result is the more recent of the two readings. A result that is too recent costs fills and
-    capacity, but one that is too old would violate a requirement.
+    may be right, so the result is the more recent of the two readings. A purge or start time that is too recent only
+    costs fills and capacity. One that is too old could let a purged copy be served, or a backend that has just
+    started be fully loaded.
     """
     now_ms = clock.now_ms()
     return min(dated_ms + max(now_ms - clock.wall_ms(), 0.0), now_ms)
--- a/beechslip/config.py
+++ b/beechslip/config.py
@@ -127,7 +127,9 @@
             float(table.get("wait_ms", 1500)),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise ConfigError(f"{path.name}: {error!r}") from None
+        raise ConfigError(
+            f"{path.name}: invalid settings, expected zone, listen, and numbers hold_ms and wait_ms: {error!r}"
+        ) from None
 
 
 def read_config(env: Mapping[str, str] | None = None) -> Config:
@@ -160,7 +162,7 @@
     try:
         return int(str(contents.get("seed", "0")), 16)
     except ValueError as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raise ConfigError(f"{path}: invalid seed, expected a hexadecimal number: {error}") from None
 
 
 def _read_listening_fd(env: Mapping[str, str]) -> int | None:
@@ -203,7 +205,7 @@
     """Return the path of the configuration file, and the JSON value that it holds."""
     path = env.get("EDGE_CONFIG")
     if not path:
-        raise ConfigError("EDGE_CONFIG is not set")
+        raise ConfigError("EDGE_CONFIG is not set: expected the path of the configuration file")
     try:
         return path, orjson.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
--- a/beechslip/duties/node.py
+++ b/beechslip/duties/node.py
@@ -108,11 +108,11 @@
     def set_duties(self, duties: Iterable[str]) -> None:
         """Use another list of duties, and drop what is known of duties that are no longer listed."""
         self.duties = tuple(sorted(set(duties)))
-        self._listed = set(self.duties)
+        self._listed_duties = set(self.duties)
         for table in (self.last_done_ms, self.latest_reports, self.leases):
-            for duty in [duty for duty in table if duty not in self._listed]:
+            for duty in [duty for duty in table if duty not in self._listed_duties]:
                 del table[duty]
-        self._reports.retain(self._listed)
+        self._reports.retain(self._listed_duties)
         self._assignment.set_duties(self.duties)
         spread_ms = self.tuning.jitter * self.tuning.interval_ms
         self._jitter_ms = {
@@ -182,7 +182,7 @@
     def record_done(self, now_ms: float, duty: str, ok: bool) -> None:
         """Record that a duty that :meth:`tick` started has ended. Its report goes out with the next messages."""
         self.running_duties.discard(duty)
-        if duty not in self._listed:
+        if duty not in self._listed_duties:
             return
         report = DutyReport(duty, self.me, now_ms, ok, self.rank(duty) == 0)
         self.last_done_ms[duty] = max(self.last_done_ms.get(duty, now_ms), now_ms)
@@ -212,7 +212,7 @@
         sends = [self._attach_reports(send) for send in self.membership.receive(now_ms, message)]
         new_reports: list[DutyReport] = []
         for report in message.reports:
-            if report.duty not in self._listed or report.prober == self.me:
+            if report.duty not in self._listed_duties or report.prober == self.me:
                 continue
             if report.owner:
                 self._resolve_double_owner(now_ms, report)
--- a/beechslip/duties/shared.py
+++ b/beechslip/duties/shared.py
@@ -1,10 +1,12 @@
 """Health checks shared among proxies, behind the engine's ``HealthChecker`` interface.
 
-The routing module's decisions are unchanged. :func:`usable_report` is the rule, without I/O.
-:class:`SharedHealthChecker` wraps the backend client's health checker with it:
+The routing module's decisions are unchanged. :func:`usable_report`, which does no I/O, decides whether another
+member's report may replace a health check. :class:`SharedHealthChecker` wraps the backend client's health checker
+with this rule:
 
-- The module requests health checks as without sharing. If another member checked that backend less than an interval
-  ago, its report is the answer and no connection is made. The owner of a duty always makes the check itself.
+- The module requests the same health checks as it does without sharing. If another member checked the backend less
+  than an interval ago, its report is the answer and no connection is made. The owner of a duty always makes the check
+  itself.
 - A health check that this proxy made, requested by the module or started by the duty schedule, is reported to the
   others through the duty node.
 - A report from another member reaches the module as an ``i.HealthCheckResult``, as its own health check would.
--- a/beechslip/fleet/membership.py
+++ b/beechslip/fleet/membership.py
@@ -89,7 +89,7 @@
         self.view_version = 0  # raised at every change of the view; callers may cache results by it
         self.counts: dict[str, int] = {}
         self._updates = UpdateQueue(self.tuning.retransmit_factor)
-        self._order: list[str] = []  # members still to be pinged in this pass; the last is the next
+        self._ping_order: list[str] = []  # members still to be pinged in this pass; the last is the next
         self._probe: _Probe | None = None
         self._relays: dict[int, _Relay] = {}  # by the sequence number of this member's ping
         self._seq = 0
@@ -310,7 +310,7 @@
             self._count("members_over_bound")
             return None
         member = self.members[update.member] = Member(update.member, update.incarnation, update.state, now_ms)
-        self._order.insert(self.rng.randint(0, len(self._order)), update.member)
+        self._ping_order.insert(self.rng.randint(0, len(self._ping_order)), update.member)
         return member
 
     def _add_accuser(self, update: MemberUpdate, member: Member, is_passed_on: bool) -> None:
@@ -340,13 +340,13 @@
         bounded time.
         """
         for _ in range(2):
-            while self._order:
-                name = self._order.pop()
+            while self._ping_order:
+                name = self._ping_order.pop()
                 member = self.members.get(name)
                 if member and member.state is not MemberState.DEAD:
                     return name
-            self._order = [name for name, member in self.members.items() if member.state is not MemberState.DEAD]
-            self.rng.shuffle(self._order)
+            self._ping_order = [name for name, member in self.members.items() if member.state is not MemberState.DEAD]
+            self.rng.shuffle(self._ping_order)
         return ""
 
     def _count(self, counter: str) -> None:
--- a/beechslip/fleet/peers.py
+++ b/beechslip/fleet/peers.py
@@ -75,7 +75,7 @@
         self._parts = tuple(parts)
         self._tick_ms = tick_ms
         self._transport: asyncio.DatagramTransport | None = None
-        self._alarm: ScheduledCall | None = None
+        self._scheduled_tick: ScheduledCall | None = None
         self.set_peers(peers)
 
     def set_peers(self, peers: Sequence[Address]) -> None:
@@ -97,8 +97,8 @@
 
     def stop(self) -> None:
         """Stop ticking, send the parts' last messages and close the socket."""
-        if self._alarm is not None:
-            self._alarm.cancel()
+        if self._scheduled_tick is not None:
+            self._scheduled_tick.cancel()
         if self._transport is not None:
             for part in self._parts:
                 self._send(part.stop(self.clock.steady_ms()))
@@ -107,7 +107,7 @@
 
     def _tick(self) -> None:
         # The next tick is scheduled first, so that a part that fails does not stop all parts for good.
-        self._alarm = self.clock.call_later(self._tick_ms, self._tick)
+        self._scheduled_tick = self.clock.call_later(self._tick_ms, self._tick)
         for part in self._parts:
             try:
                 self._send(part.tick(self.clock.steady_ms()))
--- a/beechslip/leases/census.py
+++ b/beechslip/leases/census.py
@@ -71,8 +71,8 @@
         self._other_members = other_members
         self._version_and_digest = version_and_digest
         self._collected_entries: dict[int, tuple[bytes, int]] = {}  # by member number: packed version, digest
-        self._to_request: list[str] = []
-        self._to_publish: list[bytes] = []
+        self._members_to_request: list[str] = []
+        self._chunks_to_publish: list[bytes] = []
         self._phase = _Phase.IDLE
         self._due_ms = 0.0
         self._tenure_token = 0  # the token of this member's own tenure
@@ -129,27 +129,27 @@
 
     def _start_census(self, now_ms: float) -> None:
         self._phase = _Phase.REQUESTING
-        self._to_request = list(self._other_members())
+        self._members_to_request = list(self._other_members())
         self._collected_entries = {}
         self.handle_answer(
             now_ms, self.me, ActMessage(TASK_NAME, self._tenure_token, 0, ActMessageKind.TAKEN, self._own_entry())
         )
 
     def _request_batch(self, now_ms: float) -> OutgoingActs:
-        batch = self._to_request[:REQUESTS_PER_STEP]
-        self._to_request = self._to_request[REQUESTS_PER_STEP:]
-        if not self._to_request:
+        batch = self._members_to_request[:REQUESTS_PER_STEP]
+        self._members_to_request = self._members_to_request[REQUESTS_PER_STEP:]
+        if not self._members_to_request:
             self._phase = _Phase.PUBLISHING
             self._due_ms = now_ms + self.wait_ms
-            self._to_publish = []
+            self._chunks_to_publish = []
         return [OutgoingAct(to, self._act_message(REQUEST_MARKER)) for to in batch]
 
     def _publish_chunk(self, now_ms: float) -> OutgoingActs:
-        if not self._to_publish:
-            self._to_publish = self._make_chunks()
-        chunk = self._to_publish.pop(0)
+        if not self._chunks_to_publish:
+            self._chunks_to_publish = self._make_chunks()
+        chunk = self._chunks_to_publish.pop(0)
         self.execute(now_ms, self.me, self._act_message(chunk))
-        if not self._to_publish:
+        if not self._chunks_to_publish:
             self._phase = _Phase.IDLE
             self._due_ms = now_ms + self.every_ms
         return [OutgoingAct(to, self._act_message(chunk)) for to in self._other_members()]
--- a/beechslip/leases/messages.py
+++ b/beechslip/leases/messages.py
@@ -182,9 +182,13 @@
     """Decode a lease message. Raise CodecError for anything that no proposer or acceptor of this program sends."""
     parsed = _parse_named_message(_Lease, data)
     if not 0 < parsed.round < MAX_ROUND or not 0 <= parsed.highest < MAX_ROUND:
-        raise CodecError("invalid round: out of range")
+        raise CodecError(
+            "invalid round: expected one from 1 to below the maximum, and a highest round of at least 0 below it"
+        )
     if not math.isfinite(parsed.lease_ms) or parsed.lease_ms < 0 or len(parsed.sets) > MAX_MEMBER_SETS:
-        raise CodecError("invalid lease time or number of member sets: out of range")
+        raise CodecError(
+            "invalid lease time or member sets: expected a finite time of at least 0, and at most the maximum of sets"
+        )
     try:
         kind = LeaseMessageKind(parsed.kind)
     except ValueError:
@@ -216,7 +220,7 @@
     """Decode an act or an answer. Raise CodecError if ``data`` is neither."""
     parsed = _parse_named_message(_Act, data)
     if not 0 < parsed.token < MAX_ROUND:
-        raise CodecError("invalid fencing token: out of range")
+        raise CodecError("invalid fencing token: expected one from 1 to below the maximum round")
     try:
         verb = ActMessageKind(parsed.verb)
     except ValueError:
--- a/beechslip/leases/stored.py
+++ b/beechslip/leases/stored.py
@@ -45,8 +45,8 @@
 )
 NOBODY = ""  # holder in the row of a released lease
 
-RENEWALS_PER_LEASE = 3.0  # a holder extends after the lease time divided by this,
-RENEWAL_JITTER = (0.9, 1.0)  # times a random factor within these bounds
+RENEWALS_PER_LEASE = 3.0  # a holder extends after the lease time divided by this, times a random factor
+RENEWAL_JITTER = (0.9, 1.0)  # bounds of this random factor
 
 
 class LeaseProvider(Protocol):
@@ -86,12 +86,12 @@
     token: int = 0
     deadline_ms: float = 0.0  # 0: not held
     next_check_ms: float = 0.0  # when to read the row again
-    min_token: int = 0  # the highest token that another member has seen
+    min_token: int = 0  # the highest token that another member has seen; the next token must be above it
 
 
 @dataclass
 class StoredLeases:
-    """The leases of one holder (``me`` in its incarnation) in a store, read and written by ``rows``.
+    """The leases of one holder (``me`` in its incarnation) in a store, read and written through ``connection``.
 
     Calls block as long as the store does. ``note`` is called with each event: hold, lost, released.
     ``counts`` counts held, lost, released, refused and store_failed.
@@ -99,7 +99,7 @@
 
     me: str
     incarnation: int
-    rows: SqlConnection
+    connection: SqlConnection
     clock: Callable[[], float]
     tuning: LeaseTuning = field(default_factory=LeaseTuning)
     rng: random.Random = field(default_factory=lambda: random.Random(0))
@@ -153,7 +153,7 @@
             return
         token = lease.token
         self._end_tenure(name, lease, "released")
-        self.rows.run(RELEASE_LEASE, free=NOBODY, name=name, holder=self.holder, token=token)
+        self.connection.run(RELEASE_LEASE, free=NOBODY, name=name, holder=self.holder, token=token)
 
     def tick(self) -> None:
         """Extend, take or check each lease that is due. A failure of the store is counted and not raised."""
@@ -165,7 +165,7 @@
             if not self._is_table_ready:
                 self.prepare_table()
             # One statement reads all leases: with one for each, a slow store could make held leases expire.
-            rows = self.rows.run(SELECT_LEASES)
+            rows = self.connection.run(SELECT_LEASES)
         except StoreError:
             self._count("store_failed")
             return
@@ -190,11 +190,11 @@
 
     def prepare_table(self) -> None:
         """Create the table, or add the column that an earlier version's table lacks. Raise StoreError on failure."""
-        self.rows.run(CREATE_LEASES_TABLE)
+        self.connection.run(CREATE_LEASES_TABLE)
         try:
-            self.rows.run(CHECK_DURATION_COLUMN)
+            self.connection.run(CHECK_DURATION_COLUMN)
         except StoreError:
-            self.rows.run(ADD_DURATION_COLUMN)
+            self.connection.run(ADD_DURATION_COLUMN)
         self._is_table_ready = True
 
     def _step_lease(self, name: str, lease: _LeaseState, row: Sequence[Any] | None, read_ms: float) -> None:
@@ -235,7 +235,7 @@
 
         ``start_ms`` is a time before the write: the timer of the lease starts then.
         """
-        written = self.rows.run(
+        written = self.connection.run(
             sql,
             name=name,
             holder=new_version.holder,
--- a/beechslip/orders/order_store.py
+++ b/beechslip/orders/order_store.py
@@ -1,7 +1,7 @@
 """The stored orders and their steps.
 
 The order runner and the agents write under the fence of their lease. Bounds: orders that are not open are pruned by
-age and count, also one whose creation was interrupted (``drafting``).
+age and count, including those whose creation was interrupted (state ``drafting``).
 """
 
 from __future__ import annotations
--- a/beechslip/orders/step_run.py
+++ b/beechslip/orders/step_run.py
@@ -198,12 +198,12 @@
         if self.pid and view.last_exit == self._exit and not view.pid and view.state != "starting":
             return StepAction(ActionKind.START)
         if view.state == "healthy" and view.pid and view.pid != self.pid:
-            return self._restarted(view)
+            return self._restart_result(view)
         if view.last_exit is not None and view.last_exit not in (self._exit, self._exit_before):
             return died_action(f"{view.last_exit} after the restart")
         return WAIT_ACTION
 
-    def _restarted(self, view: InstanceView) -> StepAction:
+    def _restart_result(self, view: InstanceView) -> StepAction:
         """Return the result of a restart whose new process is healthy."""
         running = f"process {view.pid} runs"
         if not self.pid:  # when the step was taken, another agent ran the process, or none ran
@@ -214,7 +214,7 @@
         return done_action(running)
 
     def _retune_action(self, is_first: bool, now_ms: float, view: InstanceView) -> StepAction:
-        if self.previous_holder:  # a process that was started since then has read the current file
+        if self.previous_holder:  # a process started after that agent took the step has read the current file
             return done_action(f"process {view.pid} runs since") if view.state == "healthy" else WAIT_ACTION
         if not self.pid:
             return refused_action(f"it is not running ({view.state})")
--- a/beechslip/peering.py
+++ b/beechslip/peering.py
@@ -105,7 +105,7 @@
         if leases.tuning.longest_ms > node.tuning.longest_ms or leases.tuning.drift > node.tuning.drift:
             raise ConfigError(
                 f"{fleet.file}: leases: longest_ms and drift can't be raised while the proxy runs: "
-                "the member that restarts next would not keep quiet for long enough"
+                "the member that restarts next would not refuse requests for long enough"
             )
         if leases.sets[-1] == node.sets[-1]:
             return
--- a/beechslip/peering_builder.py
+++ b/beechslip/peering_builder.py
@@ -191,7 +191,7 @@
             self._history.note,
         )
         part = BudgetPart(node, BudgetPlan(budgets, settings), self._clock, self._counters, self._post)
-        part.limit_connections = self._client.limit_connections(part)
+        part.close_excess_idle = self._client.limit_connections(part)
         self._health_checker = NotifyingHealthChecker(BudgetedHealthChecker(self._client, part), part)
         self._parts.append(part)
         return part
--- a/beechslip/process.py
+++ b/beechslip/process.py
@@ -99,7 +99,7 @@
         log.setLevel(log_level(os.environ))
         config = _call_with_retries(read_config, ConfigUnreadableError)
     except ConfigError as error:
-        log.error("%s", error)
+        log.error("configuration error: %s", error)
         return EXIT_CONFIG_ERROR
     gc.set_threshold(*GC_THRESHOLD)
     gc.freeze()  # excludes the objects that were loaded at the start from garbage collection
@@ -108,6 +108,6 @@
             with asyncio.Runner(loop_factory=lambda: _call_with_retries(asyncio.new_event_loop, OSError)) as runner:
                 runner.run(_run_proxy(config))
         except ConfigError as error:
-            log.error("%s", error)
+            log.error("configuration error: %s", error)
             return EXIT_CONFIG_ERROR
     return 0
--- a/beechslip/proxy.py
+++ b/beechslip/proxy.py
@@ -175,7 +175,9 @@
                 raise ConfigError(f"invalid event in 'known', and no change log is configured: {error_text}")
             self.counters.add("changelog.unreadable")
             log.warning(
-                "unreadable event in 'known' after %d, requesting it from the change log: %s", last_seq, error_text
+                "unreadable event in 'known' after sequence number %d, requesting it from the change log: %s",
+                last_seq,
+                error_text,
             )
         return InitialUpdates(last_seq, updates)
 
--- a/beechslip/regions/coordinator.py
+++ b/beechslip/regions/coordinator.py
@@ -3,9 +3,10 @@
 This module only computes; it sends no messages.
 
 A return follows the steps of :data:`beechslip.regions.status.RECOVERY_FRACTIONS`. Objects come back in a fixed order.
-A step lasts at least ``step_ms``, and until enough attempts have been made in it. Strain prolongs a step: links that
-are nearly full, or a warming-up backend that has used up its allowance. A failed step takes the return back by one
-step. The second failed step in a row ends the return, and the wait before the next return is doubled.
+A step lasts at least ``step_ms``, and until enough attempts have been made in it. It is prolonged while the region is
+strained: its links are nearly full, or a warming-up backend in it has used up its allowance. A failed step takes the
+return back by one step. The second failed step in a row ends the return, and the wait before the next return is
+doubled.
 """
 
 from __future__ import annotations
--- a/beechslip/regions/detection.py
+++ b/beechslip/regions/detection.py
@@ -5,7 +5,7 @@
 more than all the others together. A region is failing if both of these hold:
 
 - Its pooled score exceeds ln(1 / ``FALSE_ALARM_PROBABILITY``) plus twice the lower median of the pooled scores of the
-  role's other regions. A fault that affects all of them alike has its cause behind them.
+  role's other regions. A fault that affects all of them alike has its cause outside these regions.
 - At least two proxies report failures.
 """
 
--- a/beechslip/regions/failure_evidence.py
+++ b/beechslip/regions/failure_evidence.py
@@ -16,9 +16,10 @@
 the router of each proxy ejects a single outlier by itself.
 
 A fill that ends with an error or a timeout is attributed to its source. It is attributed to the backend as well if
-all sources from which the backend's region has recently filled have failed. If most
-regions hardly respond, the proxy's own link is at fault (:meth:`FailureEvidence.has_local_fault`), and its report is
-not counted.
+all sources from which the backend's region has recently filled have failed.
+
+If most regions hardly respond, the proxy's own link is at fault (:meth:`FailureEvidence.has_local_fault`), and its
+report is not counted.
 """
 
 from __future__ import annotations
--- a/beechslip/store/__init__.py
+++ b/beechslip/store/__init__.py
@@ -118,8 +118,8 @@
         """Write an event at time of day ``at_ms``; return False if the lease of ``fence`` is lost."""
         ...
 
-    def prune_events(self, before_ms: float, most: int) -> None:
-        """Delete events older than time of day ``before_ms``, and all but the newest ``most`` events."""
+    def prune_events(self, before_ms: float, max_count: int) -> None:
+        """Delete events older than time of day ``before_ms``, and all but the newest ``max_count`` events."""
         ...
 
     def events(self, instance: str = "", limit: int = 100) -> list[InstanceEvent]:
--- a/beechslip/store/sent_requests.py
+++ b/beechslip/store/sent_requests.py
@@ -120,7 +120,10 @@
             previous = await asyncio.wait_for(asyncio.shield(call), self._config.wait_ms / 1000.0)
         except (StoreError, TimeoutError) as error:
             self._counters.add("record.failed")
-            log.error("request not sent, because it could not be logged: %s", str(error) or "the store took too long")
+            log.error(
+                "request not sent, because it could not be written to the sent-request log: %s",
+                str(error) or "the store took too long",
+            )
             return False
         if previous is None:
             return True
@@ -204,7 +207,7 @@
             self._connect().run("DELETE FROM sent WHERE op_key = :op_key", op_key=token)
         except StoreError as error:
             self._counters.add("record.failed")
-            log.error("request could not be deleted from the log: %s", error)
+            log.error("request could not be deleted from the sent-request log: %s", error)
 
 
 def _read_boot_id() -> str:
--- a/beechslip/store/sql.py
+++ b/beechslip/store/sql.py
@@ -160,12 +160,12 @@
             )
         )
 
-    def prune_events(self, before_ms: float, most: int) -> None:
-        """Delete events older than time of day ``before_ms``, and all but the newest ``most`` events."""
+    def prune_events(self, before_ms: float, max_count: int) -> None:
+        """Delete events older than time of day ``before_ms``, and all but the newest ``max_count`` events."""
         self._db.run(
             "DELETE FROM events WHERE at_ms < :before OR id <= (SELECT MAX(id) FROM events) - :most",
             before=before_ms,
-            most=most,
+            most=max_count,
         )
 
     def events(self, instance: str = "", limit: int = 100) -> list[InstanceEvent]:
--- a/tests/test_budgets_wire.py
+++ b/tests/test_budgets_wire.py
@@ -108,7 +108,7 @@
 async def test_connections_to_a_backend_are_bounded_and_released() -> None:
     async with InProcessProxy(*backends(HANG)) as stand:
         part = attach_budgets(stand, cache_links=2.0)
-        part.limit_connections = stand.client.limit_connections(part)
+        part.close_excess_idle = stand.client.limit_connections(part)
         request_tasks = [stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(10)]
         await until(
             lambda: (
@@ -127,12 +127,12 @@
 async def test_idle_connections_are_closed_when_their_quota_shrinks() -> None:
     async with InProcessProxy(*backends(OK)) as stand:
         part = attach_budgets(stand, cache_links=4.0)
-        part.limit_connections = stand.client.limit_connections(part)
+        part.close_excess_idle = stand.client.limit_connections(part)
         await asyncio.gather(*(stand.ask(target=f"/rpc/waveform/{n:x}?slice=0") for n in range(8)))
         before = {backend.name: backend.connections for backend in stand.backends[:2]}
         assert max(before.values()) >= 2
         for name in "ab":
-            part.limit_connections(name, 1.0)
+            part.close_excess_idle(name, 1.0)
         await until(lambda: all(backend.closed >= backend.connections - 1 for backend in stand.backends[:2]))
 
 
--- a/tests/test_stored_leases.py
+++ b/tests/test_stored_leases.py
@@ -172,12 +172,12 @@
                 raise StoreError("database or disk is full")
             return database.run(sql, **values)
 
-    first.rows = FullStore()
+    first.connection = FullStore()
     for _ in range(21):
         now[0] += 50.0
         first.tick()
     assert first.held_token("x", now[0]) is None and first.counts["lost"] == 1 and first.counts["store_failed"] > 1
-    first.rows = database
+    first.connection = database
     now[0] += 100.0
     first.tick()
     assert first.held_token("x", now[0]) == 1  # the row still names this holder: it keeps its token
