--- a/beechslip/budgets/part.py
+++ b/beechslip/budgets/part.py
@@ -46,7 +46,7 @@
 
 
 class BudgetPart:
-    """The part of the peer socket, the engine's ``QuotaGate`` and the pool's ``ConnectionGate``.
+    """The part of the peer socket, the engine's ``QuotaGate`` and the pool's ``ConnectionLimiter``.
 
     Counts ``budget.granted|taken|late|unheld|unknown|bad`` and ``budget.refused.KIND`` (attempts, connections and
     waits for a health check that a quota did not allow).
--- a/beechslip/dns/__init__.py
+++ b/beechslip/dns/__init__.py
@@ -1,1 +1,1 @@
-"""The DNS front: lookups are answered by the same decisions, under the same rules, as HTTP requests."""
+"""The DNS front. Lookups are answered by the same decisions, under the same rules, as HTTP requests."""
--- a/beechslip/dns/front.py
+++ b/beechslip/dns/front.py
@@ -1,6 +1,7 @@
-"""The DNS front's sockets: UDP and TCP lookups in, one response out for each.
+"""The DNS front's sockets: receive lookups over UDP and TCP, and send one response to each.
 
-A lookup becomes a core request, whose attempts and final answer :class:`beechslip.dns.lookup.Lookup` takes.
+A lookup becomes a core request. :class:`beechslip.dns.lookup.Lookup` carries out its attempts and takes its final
+response.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 from beechslip.core.model import ClientRequest
 from beechslip.counters import Counters
 from beechslip.dns import messages
-from beechslip.dns.lookup import Lookup, Reply
-from beechslip.platform.sockets import Listener, listening_socket
+from beechslip.dns.lookup import Lookup, SendResponse
+from beechslip.platform.sockets import Listener, open_listening_socket
 from beechslip.routing.interface import Settings
 
 log = logging.getLogger("beechslip.dns")
 
 MAX_TCP_CONNECTIONS = 64
-BACKLOG = 100  # connections that may wait in the kernel
-TCP_IDLE_S = 10.0  # seconds without a complete query after which a connection is closed
-MAX_PORT_ATTEMPTS = 20  # ports tried until one is free for both TCP and UDP, where any will do
-MAX_PENDING = 1024  # lookups that await a response
+LISTEN_BACKLOG = 100  # connections that may wait in the kernel
+TCP_IDLE_TIMEOUT_S = 10.0  # time without a complete query after which a connection is closed
+MAX_PORT_ATTEMPTS = 20  # ports tried until one is free for both TCP and UDP, if any port will do
+MAX_PENDING_LOOKUPS = 1024  # lookups that await a response
 
 
 class DnsFront:
@@ -42,140 +43,149 @@
         config: DnsConfig,
         settings: Settings,
         clock: Clock,
-        ready: Callable[[], bool],
+        may_answer: Callable[[], bool],
         post: Callable[[object], None],
         counters: Counters,
     ) -> None:
-        """``ready``: whether backends are known and may be handed out; ``post`` hands messages to the engine."""
+        """Create a front that does not listen yet.
+
+        ``may_answer`` returns True if backends are known and may be handed out. ``post`` passes messages to the
+        engine.
+        """
         self._config = config
         self._settings = settings
         self._clock = clock
-        self._ready = ready
+        self._may_answer = may_answer
         self._post = post
         self._counters = counters
         self._zone = dns.name.from_text(config.zone)
-        self._ids = itertools.count()
-        self._pending: set[tuple[object, int, str]] = set()
-        self._udp: asyncio.DatagramTransport | None = None
-        self._tcp: Listener | None = None
-        self._streams: set[asyncio.Task[None]] = set()
+        self._request_numbers = itertools.count()
+        self._pending_lookups: set[tuple[object, int, str]] = set()
+        self._udp_transport: asyncio.DatagramTransport | None = None
+        self._tcp_listener: Listener | None = None
+        self._tcp_tasks: set[asyncio.Task[None]] = set()
         self.port = config.listen.port
 
     async def start(self) -> None:
-        """Listen for UDP and TCP at the same port; raises OSError where it can't be had."""
+        """Listen for UDP and TCP at the same port. Raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         listen = self._config.listen
         for attempts_left in reversed(range(MAX_PORT_ATTEMPTS if listen.port == 0 else 1)):
-            tcp = Listener(await listening_socket(listen, BACKLOG), self._tcp_protocol, self._counters)
+            tcp = Listener(await open_listening_socket(listen, LISTEN_BACKLOG), self._tcp_protocol, self._counters)
             self.port = tcp.port
             try:
-                self._udp, _ = await loop.create_datagram_endpoint(
-                    lambda: _Datagrams(self), local_addr=(listen.host, self.port)
+                self._udp_transport, _ = await loop.create_datagram_endpoint(
+                    lambda: _UdpProtocol(self), local_addr=(listen.host, self.port)
                 )
             except OSError:
                 tcp.close()
                 if not attempts_left:
                     raise
-                continue  # any port will do, and this one is free for TCP alone
-            self._tcp = tcp
+                continue  # any port will do, and this one is free for TCP only
+            self._tcp_listener = tcp
             return
 
     def retune(self, settings: Settings) -> None:
-        """Use new settings for lookups from now on."""
+        """Use new settings for all lookups from now on."""
         self._settings = settings
 
     async def close(self) -> None:
-        """Close the sockets; lookups that are open on TCP connections are abandoned."""
-        if self._udp is not None:
-            self._udp.close()
-        if self._tcp is not None:
-            self._tcp.close()
-        for task in list(self._streams):
+        """Close the sockets. Pending lookups on TCP connections are abandoned."""
+        if self._udp_transport is not None:
+            self._udp_transport.close()
+        if self._tcp_listener is not None:
+            self._tcp_listener.close()
+        for task in list(self._tcp_tasks):
             task.cancel()
-        await asyncio.gather(*self._streams, return_exceptions=True)
+        await asyncio.gather(*self._tcp_tasks, return_exceptions=True)
 
     def handle_packet(
         self, wire: bytes, write: Callable[[bytes], None], peer: object, *, udp: bool
     ) -> tuple[str, Lookup] | None:
-        """Respond to a packet, at once or once it is routed; ``write`` sends the response's bytes.
+        """Respond to a packet, either now or once it is routed. ``write`` sends the bytes of the response.
 
-        Returns the id and the lookup of the request that was posted, if any, for its client may leave.
+        Return the id and the lookup of the request that was posted, if any, because its client may leave.
         """
         self._counters.add("dns.taken")
         try:
             query = messages.parse_packet(wire)
         except messages.PacketFormatError as error:
-            self._count(dns.rcode.FORMERR)
-            write(error.response())
+            self._count_response(dns.rcode.FORMERR)
+            write(error.build_response())
             return None
         if query is None:
             self._counters.add("dns.dropped")
             return None
-        max_size = messages.udp_size_limit(query) if udp else messages.MAX_TCP_SIZE
+        max_size = messages.udp_size_limit(query) if udp else messages.MAX_TCP_MESSAGE_BYTES
 
         def reply(answer: dns.message.Message) -> None:
-            self._count(answer.rcode())
+            self._count_response(answer.rcode())
             write(messages.to_wire(answer, max_size))
 
         try:
-            return self._route(query, max_size, reply, peer)
+            return self._answer_query(query, max_size, reply, peer)
         except Exception:
-            # Guards against a packet that parses and still breaks an assumption: it must get one response.
+            # A packet that can be parsed but breaks an assumption must still get exactly one response.
             self._counters.add("fault.dns")
-            log.exception("dns: a lookup from %s", peer)
-            reply(messages.response(query, dns.rcode.SERVFAIL))
+            log.exception("DNS lookup failed: peer=%s", peer)
+            reply(messages.build_response(query, dns.rcode.SERVFAIL))
             return None
 
-    def _route(
-        self, query: dns.message.Message, max_size: int, reply: Reply, peer: object
+    def _answer_query(
+        self, query: dns.message.Message, max_size: int, reply: SendResponse, peer: object
     ) -> tuple[str, Lookup] | None:
         rcode = messages.check_query(query)
         if rcode != dns.rcode.NOERROR:
-            reply(messages.response(query, rcode))
+            reply(messages.build_response(query, rcode))
             return None
         question = messages.parse_question(query, self._zone, self._settings)
         match question.kind:
             case "refused":
-                reply(messages.response(query, dns.rcode.REFUSED))
+                reply(messages.build_response(query, dns.rcode.REFUSED))
             case "nxdomain":
-                reply(messages.negative(query, self._zone, dns.rcode.NXDOMAIN))
+                reply(messages.negative_response(query, self._zone, dns.rcode.NXDOMAIN))
             case "nodata":
-                reply(messages.negative(query, self._zone, dns.rcode.NOERROR))
+                reply(messages.negative_response(query, self._zone, dns.rcode.NOERROR))
             case "apex":
-                reply(messages.apex(query, self._zone))
+                reply(messages.apex_response(query, self._zone))
             case "route":
                 return self._post_lookup(query, question, max_size, reply, peer)
         return None
 
     def _post_lookup(
-        self, query: dns.message.Message, question: messages.Question, max_size: int, reply: Reply, peer: object
+        self,
+        query: dns.message.Message,
+        question: messages.Question,
+        max_size: int,
+        reply: SendResponse,
+        peer: object,
     ) -> tuple[str, Lookup] | None:
-        if not self._ready():
-            reply(messages.not_ready(query, "the list of boxes is not known yet"))
+        if not self._may_answer():
+            reply(messages.not_ready_response(query, "the list of boxes is not known yet"))
             return None
-        if not messages.fits(query, question, max_size):
-            reply(messages.truncated(messages.response(query)))
+        if not messages.fits_backend_response(query, question, max_size):
+            reply(messages.truncate_response(messages.build_response(query)))
             return None
         key = (peer, query.id, str(query.question[0]))
-        if key in self._pending:  # a retry of a lookup that is under way: one hand-out serves both
+        if key in self._pending_lookups:  # a retry of a pending lookup: one hand-out serves both
             self._counters.add("dns.repeated")
             return None
-        if len(self._pending) >= MAX_PENDING:
-            reply(messages.failure(query, "too many lookups"))
+        if len(self._pending_lookups) >= MAX_PENDING_LOOKUPS:
+            reply(messages.failure_response(query, "too many lookups"))
             return None
-        self._pending.add(key)
-        lookup = Lookup(query, question, self._config.hold_ms, reply, lambda: self._pending.discard(key))
-        call = ClientRequest(
-            id=f"dns-{next(self._ids)}",
+        self._pending_lookups.add(key)
+        lookup = Lookup(query, question, self._config.hold_ms, reply, lambda: self._pending_lookups.discard(key))
+        client_request = ClientRequest(
+            id=f"dns-{next(self._request_numbers)}",
             class_name=question.class_name,
             object=question.object,
             wait_ms=self._config.wait_ms,
             arrived_ms=self._clock.now_ms(),
         )
-        self._post(RequestReceived(call, lookup, lookup))
-        return call.id, lookup
+        self._post(RequestReceived(client_request, lookup, lookup))
+        return client_request.id, lookup
 
-    def _count(self, rcode: dns.rcode.Rcode) -> None:
+    def _count_response(self, rcode: dns.rcode.Rcode) -> None:
         self._counters.add(f"dns.{dns.rcode.to_text(rcode).lower()}")
 
     def _tcp_protocol(self, _: object) -> asyncio.BaseProtocol:
@@ -185,11 +195,11 @@
         task = asyncio.current_task()
         assert task is not None
         lookups: list[tuple[str, Lookup]] = []
-        if len(self._streams) >= MAX_TCP_CONNECTIONS:
+        if len(self._tcp_tasks) >= MAX_TCP_CONNECTIONS:
             self._counters.add("dns.dropped")
             writer.close()
             return
-        self._streams.add(task)
+        self._tcp_tasks.add(task)
 
         def write(wire: bytes) -> None:
             if not writer.is_closing():
@@ -197,23 +207,23 @@
 
         try:
             while True:
-                async with asyncio.timeout(TCP_IDLE_S):
+                async with asyncio.timeout(TCP_IDLE_TIMEOUT_S):
                     size = int.from_bytes(await reader.readexactly(2), "big")
                     wire = await reader.readexactly(size)
                 posted = self.handle_packet(wire, write, writer, udp=False)
-                lookups = [one for one in [*lookups, posted] if one is not None and not one[1].answered]
+                lookups = [one for one in [*lookups, posted] if one is not None and not one[1].is_answered]
                 await writer.drain()
         except (asyncio.IncompleteReadError, TimeoutError, ConnectionError):
-            pass  # the client is done, or was silent for too long
+            pass  # the client has closed the connection, or was silent for too long
         finally:
             for request_id, lookup in lookups:
                 lookup.abandon()
-                self._post(ClientDisconnected(request_id, lookup))  # of no effect for those that are answered
-            self._streams.discard(task)
+                self._post(ClientDisconnected(request_id, lookup))  # has no effect on those that have been answered
+            self._tcp_tasks.discard(task)
             writer.close()
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _UdpProtocol(asyncio.DatagramProtocol):
     def __init__(self, front: DnsFront) -> None:
         self._front = front
         self._transport: asyncio.DatagramTransport | None = None
--- a/beechslip/dns/lookup.py
+++ b/beechslip/dns/lookup.py
@@ -1,7 +1,7 @@
-"""One DNS lookup as the core sees it: its attempt is the hand-out of a backend's address.
+"""One DNS lookup as the core sees it: its attempt hands out a backend's address.
 
-The response is written right after the guards are checked, in one step of the event loop, so that no drain can come
-between.
+The response is written right after the guards are checked, in the same step of the event loop, so that no drain can
+take effect in between.
 """
 
 from __future__ import annotations
@@ -13,16 +13,21 @@
 from beechslip.core.model import AttemptRequest, AttemptResult, FinalResponse
 from beechslip.dns import messages
 
-Reply = Callable[[dns.message.Message], None]
+SendResponse = Callable[[dns.message.Message], None]
 
-# The text of the extended error of a failure by its cause.
-TEXT_BY_CAUSE = {"deadline": "no box in time", "duplicate": "asked twice", "fault": "internal fault", "": "failed"}
+# Texts of the extended errors (RFC 8914) by the cause of the failure.
+ERROR_TEXT_BY_CAUSE = {
+    "deadline": "no box in time",
+    "duplicate": "asked twice",
+    "fault": "internal fault",
+    "": "failed",
+}
 
 
 class Lookup:
-    """One routed lookup: carries out its attempts by handing out the backend, and takes its final answer.
+    """One routed lookup. Its attempts hand out the backend, and it takes the final response.
 
-    The core's ``AttemptExecutor`` and ``ResponseSink``.
+    Implements the core's ``AttemptExecutor`` and ``ResponseSink``.
     """
 
     def __init__(
@@ -30,53 +35,53 @@
         query: dns.message.Message,
         question: messages.Question,
         hold_ms: float,
-        reply: Reply,
+        reply: SendResponse,
         on_answered: Callable[[], None],
     ) -> None:
-        """``hold_ms``: for how long a backend counts as in use once it is handed out.
+        """Create a lookup. A backend counts as in use for ``hold_ms`` after it is handed out.
 
-        ``on_answered`` is called once, when no response is to be sent any more.
+        ``on_answered`` is called once, when no further response will be sent.
         """
         self._query = query
         self._question = question
         self._hold_ms = hold_ms
         self._reply = reply
         self._on_answered = on_answered
-        self.answered = False
+        self.is_answered = False
 
     async def execute(self, attempt: AttemptRequest, may_start: Callable[[], bool]) -> AttemptResult:
         """Hand out the attempt's backend; see ``AttemptExecutor``."""
         try:
-            answer = messages.backend_answer(self._query, self._question, attempt.backend.address)
+            answer = messages.backend_response(self._query, self._question, attempt.backend.address)
         except ValueError:
-            return AttemptResult("connect_failed")  # a backend without an IPv4 address can't be reached this way
-        if not may_start():  # also if the client has left
+            return AttemptResult("connect_failed")  # a backend without an IPv4 address can't be handed out
+        if not may_start():  # also false if the client has left
             return AttemptResult("moot")
-        self._write(answer)
+        self._write_response(answer)
         return AttemptResult("handed_out", hold_ms=self._hold_ms)
 
-    def answer(self, final: FinalResponse) -> None:
+    def answer(self, final_response: FinalResponse) -> None:
         """Respond with SERVFAIL, unless a backend was handed out."""
-        if self.answered:
+        if self.is_answered:
             return
-        if final.kind == "refused":
-            text = f"refused: come back in {final.retry_after_ms:.0f} ms"
+        if final_response.kind == "refused":
+            text = f"refused: come back in {final_response.retry_after_ms:.0f} ms"
         else:
-            text = TEXT_BY_CAUSE[final.cause]
-        self._write(messages.failure(self._query, text))
+            text = ERROR_TEXT_BY_CAUSE[final_response.cause]
+        self._write_response(messages.failure_response(self._query, text))
 
     @property
     def departed(self) -> bool:
-        """Whether its client has left, or has its response."""
-        return self.answered
+        """True if the client has left or has its response."""
+        return self.is_answered
 
     def abandon(self) -> None:
-        """The client has left: nothing may be handed out or sent to it any more."""
-        if not self.answered:
-            self.answered = True
+        """Note that the client has left: no backend may be handed out and nothing may be sent to it any more."""
+        if not self.is_answered:
+            self.is_answered = True
             self._on_answered()
 
-    def _write(self, answer: dns.message.Message) -> None:
-        self.answered = True
+    def _write_response(self, answer: dns.message.Message) -> None:
+        self.is_answered = True
         self._on_answered()
         self._reply(answer)
--- a/beechslip/peering.py
+++ b/beechslip/peering.py
@@ -19,7 +19,7 @@
 from beechslip.leases.messages import MOST_SETS
 from beechslip.leases.part import LeasePart
 from beechslip.leases.settings import LeasesConfig, read_leases
-from beechslip.platform.history import History
+from beechslip.platform.history import HistoryFile
 from beechslip.regions.part import RegionPart
 from beechslip.regions.settings import RegionsConfig, read_regions
 from beechslip.routing.interface import Settings
@@ -51,7 +51,7 @@
     peers: Peers
     health_checker: HealthChecker
     leases: LeasePart | None
-    history: History
+    history: HistoryFile
     settings_digest: int = 0
     budgets: BudgetPart | None = None
     regions: RegionPart | None = None
--- a/beechslip/peering_builder.py
+++ b/beechslip/peering_builder.py
@@ -38,7 +38,7 @@
     settings_digest,
 )
 from beechslip.platform.backends import BackendClient
-from beechslip.platform.history import History
+from beechslip.platform.history import HistoryFile
 from beechslip.regions.node import RegionNode
 from beechslip.regions.node_types import LEASE as REGIONS_LEASE
 from beechslip.regions.part import RegionPart
@@ -89,7 +89,7 @@
         self._post = post
         self._me = member_name(fleet.number)
         self._incarnation = secrets.randbits(63)
-        self._history = History(fleet.history, self._me, self._incarnation, clock, counters)
+        self._history = HistoryFile(fleet.history, self._me, self._incarnation, clock, counters)
         self._health_checker: HealthChecker = client  # each part that takes part in health checks wraps it
         self._parts: list[Part] = []
         self._peering: Peering  # set by ``build``; parts ask it for what changes while it runs
@@ -187,7 +187,7 @@
             self._history.note,
         )
         part = BudgetPart(node, Plan(budgets, settings), self._clock, self._counters, self._post)
-        part.trim = self._client.bound(part)
+        part.trim = self._client.limit_connections(part)
         self._health_checker = ListedHealthChecker(BudgetedHealthChecker(self._client, part), part)
         self._parts.append(part)
         return part
--- a/beechslip/platform/__init__.py
+++ b/beechslip/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: a thin HTTP front, the backend client, and the reader of the change log."""
+"""Implement the platform's protocol: the HTTP front, the backend client and the reader of the change log."""
--- a/beechslip/platform/backend_messages.py
+++ b/beechslip/platform/backend_messages.py
@@ -1,4 +1,4 @@
-"""The requests to backends and their responses as pure functions: attempts to bytes, responses to results."""
+"""Pure functions that format the requests to backends and interpret their responses."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from beechslip.core.model import AttemptRequest, AttemptResult, Payload
 
-MAX_RESPONSE_BODY = 240_000  # bytes of an object
-MAX_STATS = 16  # values of a load report
+MAX_RESPONSE_BODY_BYTES = 240_000  # largest object that is accepted
+MAX_LOAD_REPORT_VALUES = 16  # values read from one load report
 
-# The notes of X-Result in the decision module's words.
-NOTES = {
+# The values of X-Result, each with the note that the decision module uses for it.
+NOTE_BY_X_RESULT = {
     "local": "hit",
     "pulled": "filled",
     "pulled_far": "filled_origin",
@@ -24,15 +24,23 @@
     "no_place": "no_place",
     "far_fault": "origin_failed",
 }
-# Which notes the decision module may see, by the site's setting ``tells``.
-VISIBLE_NOTES = {
-    "all": frozenset(NOTES.values()),
+# The notes that the decision module may see, by the site's setting ``tells``.
+VISIBLE_NOTES_BY_SETTING = {
+    "all": frozenset(NOTE_BY_X_RESULT.values()),
     "hit": frozenset({"hit", "filled", "joined", "stale"}),
     "": frozenset[str](),
 }
-# The fields of X-Stats in the module's words. X-Stats names them as the settings do: a site may say `util`
-# or `cpu` for the same figure, and a word that is missing here would hide it from the module.
-STATS = {"util": "busy", "cpu": "busy", "inflight": "held", "active": "held", "x0": "hit_share", "x1": "link"}
+# The names of X-Stats, each with the name that the decision module uses for it. X-Stats names the figures as the
+# settings do: a site may say `util` or `cpu` for the same figure. A name that is missing here would hide the figure
+# from the module.
+LOAD_REPORT_NAMES = {
+    "util": "busy",
+    "cpu": "busy",
+    "inflight": "held",
+    "active": "held",
+    "x0": "hit_share",
+    "x1": "link",
+}
 
 _NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?\Z")
 _DIGEST = re.compile(r"[!#-~]{1,256}\Z")
@@ -40,17 +48,17 @@
 
 
 def attempt_target(attempt: AttemptRequest) -> str:
-    """The path that an attempt requests of its backend."""
-    call = attempt.call
-    return f"/data/{quote(call.class_name, safe='')}/{quote(call.object, safe='')}/{call.part}"
+    """Return the path that an attempt requests from its backend."""
+    request = attempt.call
+    return f"/data/{quote(request.class_name, safe='')}/{quote(request.object, safe='')}/{request.part}"
 
 
 def attempt_headers(attempt: AttemptRequest, wait_ms: float) -> dict[str, str]:
-    """The header fields of an attempt that may last ``wait_ms`` more; what has no value is left out."""
-    call = attempt.call
-    headers = {"X-Trace": call.id, "X-Patience": str(max(int(wait_ms), 1))}
-    if call.token:
-        headers["X-Op-Key"] = call.token
+    """Return the header fields of an attempt that may last ``wait_ms`` more. Fields without a value are left out."""
+    request = attempt.call
+    headers = {"X-Trace": request.id, "X-Patience": str(max(int(wait_ms), 1))}
+    if request.token:
+        headers["X-Op-Key"] = request.token
     if attempt.source:
         headers["X-Next-Hop"] = attempt.source
     if attempt.keep:
@@ -61,45 +69,45 @@
     hints = [word for word, enabled in flags if enabled]
     if hints:
         headers["X-Hints"] = "+".join(hints)
-    if call.tag:
-        headers["X-Validator"] = call.tag
+    if request.tag:
+        headers["X-Validator"] = request.tag
     return headers
 
 
-def attempt_message(attempt: AttemptRequest, wait_ms: float) -> bytes:
-    """An attempt's request in its wire form, with ``wait_ms`` as the time that the backend has."""
-    call = attempt.call
+def attempt_request_bytes(attempt: AttemptRequest, wait_ms: float) -> bytes:
+    """Return an attempt's request in its wire form. ``wait_ms`` is the time that the backend has."""
+    request = attempt.call
     fields = {"Host": attempt.backend.address} | attempt_headers(attempt, wait_ms)
-    if call.write:
-        fields["Content-Length"] = str(len(call.body))
+    if request.write:
+        fields["Content-Length"] = str(len(request.body))
     head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-    method = "PUT" if call.write else "GET"
-    return f"{method} {attempt_target(attempt)} HTTP/1.1\r\n{head}\r\n".encode() + call.body
+    method = "PUT" if request.write else "GET"
+    return f"{method} {attempt_target(attempt)} HTTP/1.1\r\n{head}\r\n".encode() + request.body
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """A load report, as ``inflight:7;util:0.61``, in the module's words; what can't be read is skipped."""
+    """Parse a load report such as ``inflight:7;util:0.61`` into the module's names. Invalid items are skipped."""
     report = dict[str, float]()
     for item in text.split(";"):
         name, _, value = item.partition(":")
-        if _NUMBER.match(value.strip()) and len(report) < MAX_STATS:
-            report[STATS.get(name.strip(), name.strip())] = float(value)
+        if _NUMBER.match(value.strip()) and len(report) < MAX_LOAD_REPORT_VALUES:
+            report[LOAD_REPORT_NAMES.get(name.strip(), name.strip())] = float(value)
     return report
 
 
 def parse_backend_response(
     status: int, fields: Mapping[str, str], body: bytes, visible_notes: str, requested_tag: str, write: bool
 ) -> AttemptResult:
-    """The result of an attempt that got this complete response; ``fields`` by names in lower case.
+    """Return the result of an attempt that received this complete response. Names in ``fields`` are in lower case.
 
-    ``visible_notes`` is the site's setting ``tells``; ``requested_tag`` that of the copy which the client has.
+    ``visible_notes`` is the site's setting ``tells``. ``requested_tag`` is the tag of the copy that the client has.
     """
     report = parse_load_report(fields.get("x-stats", ""))
-    note = NOTES.get(fields.get("x-result", ""), "")
-    note = note if note in VISIBLE_NOTES.get(visible_notes, frozenset()) else ""
+    note = NOTE_BY_X_RESULT.get(fields.get("x-result", ""), "")
+    note = note if note in VISIBLE_NOTES_BY_SETTING.get(visible_notes, frozenset()) else ""
     not_executed = fields.get("x-declined") == "1"
     if status == 200 or (status == 304 and requested_tag and not write):
-        return _success(status, fields, body, requested_tag, write, note, report)
+        return _success_result(status, fields, body, requested_tag, write, note, report)
     if status == 404:
         return AttemptResult("miss", note, report)
     if status == 503 and not_executed:
@@ -109,7 +117,7 @@
     return AttemptResult("error", note, report)
 
 
-def _success(
+def _success_result(
     status: int,
     fields: Mapping[str, str],
     body: bytes,
@@ -118,13 +126,13 @@
     note: str,
     report: dict[str, float],
 ) -> AttemptResult:
-    """The result of a 200 or 304: "spoilt" where it does not identify its copy."""
+    """Return the result of a 200 or 304. It is "spoilt" if the response does not identify its copy."""
     tag = fields.get("x-digest", "")
     identified = _DIGEST.match(tag) and _TIMESTAMP.match(fields.get("x-stamp", ""))
     if not write and not identified:  # writes leave no copy, so their responses need not identify one
         return AttemptResult("spoilt")
     if status == 200:
         return AttemptResult("ok", note, report, Payload(body, tag))
-    if tag != requested_tag:  # it names another copy than the client has
+    if tag != requested_tag:  # the response names another copy than the one that the client has
         return AttemptResult("spoilt")
     return AttemptResult("ok", note, report, Payload(b"", tag, same=True))
--- a/beechslip/platform/changelog.py
+++ b/beechslip/platform/changelog.py
@@ -1,4 +1,4 @@
-"""The change log's reader: watches the event stream and reconnects when it ends, breaks or falls silent."""
+"""The change log's reader. It watches the event stream, and reconnects if the stream ends, breaks or falls silent."""
 
 from __future__ import annotations
 
@@ -14,76 +14,86 @@
 from beechslip.core.messages import EndpointListUpdate, PurgeReceived
 from beechslip.core.model import Backend
 from beechslip.counters import Counters
-from beechslip.platform.endpoint_list import EndpointList
-from beechslip.platform.watch_events import BadEventError, EventStreamParser, ServerSentEvent, Update, parse_event
+from beechslip.platform.endpoint_list import ReadyBackendNames
+from beechslip.platform.watch_events import (
+    BadEventError,
+    ChangeLogUpdate,
+    EventStreamParser,
+    ServerSentEvent,
+    parse_server_sent_event,
+)
 from beechslip.routing.interface import Settings
 
 log = logging.getLogger("beechslip.changelog")
 
-SILENCE_S = 1.8  # a comment comes each second; what a stopped log would send counts as notified after 4 s
-RECONNECT_S = 0.1  # seconds between two connections
+# The log sends a comment each second. Events that a stopped log would have sent count as notified after 4 s.
+SILENCE_TIMEOUT_S = 1.8
+RECONNECT_DELAY_S = 0.1  # delay between two connections
 CONNECT_TIMEOUT_S = 0.8
-DOUBT_PART = 0.6  # of the grace of a drain: a doubtful list is applied by then, whatever comes
-DEFAULT_GRACE_S = 0.5  # where the settings name none
-MAX_ID_DIGITS = 18  # of an event's id that is taken for a number
+# A doubtful list is applied after this fraction of the drain grace, whatever arrives until then.
+DOUBTFUL_LIST_GRACE_FRACTION = 0.6
+DEFAULT_DRAIN_GRACE_S = 0.5  # used if the settings give no grace
+MAX_EVENT_ID_DIGITS = 18  # an event's id with more digits is not read as a number
 
 
-class ChangeLog:
+class ChangeLogReader:
     """Watches the change log from a sequence number on and posts its updates.
 
-    Each event is posted once, in order. Only the purges and drains of an event that is requested again are posted
-    at once, as they are binding from the first notification on.
+    Each event is posted once, in order. There is one exception: if an event is requested again, its purges and drains
+    are posted at once, because they are binding from the first notification on.
     """
 
     def __init__(
         self,
         address: Address,
-        last: int,
-        post: Callable[[Update], None],
+        last_seq: int,
+        post: Callable[[ChangeLogUpdate], None],
         counters: Counters,
-        known: Iterable[Update] = (),
-        grace_s: float = 0.0,
+        known: Iterable[ChangeLogUpdate] = (),
+        drain_grace_s: float = 0.0,
     ) -> None:
-        """``last``: the sequence number reached by the updates ``known``.
+        """Create a reader. ``last_seq`` is the sequence number reached by the updates ``known``.
 
-        ``grace_s``: seconds after which a drain is binding; 0 for the default.
+        ``drain_grace_s`` is the number of seconds after which a drain is binding; 0 selects the default.
         """
-        self.last = last
-        self.grace_s = grace_s
+        self.last_seq = last_seq
+        self.drain_grace_s = drain_grace_s
         self._address = address
         self._post = post
         self._counters = counters
-        # By events that are still to be applied: backends out of service, with the event's number; purges posted.
+        # Updates that were posted early, of events that are still to be applied: backends out of service, with the
+        # event's number, and purges.
         self._early_draining: dict[str, int] = {}
         self._early_purges: set[tuple[int, PurgeReceived]] = set()
-        self._endpoints = EndpointList()
+        self._ready_backends = ReadyBackendNames()
         for update in known:
-            self._record(update)
-        self._doubt_timer: asyncio.TimerHandle | None = None  # until a doubtful list is applied
+            self._record_endpoints(update)
+        self._doubtful_list_timer: asyncio.TimerHandle | None = None  # runs until a doubtful list is applied
         self._address_changed = asyncio.Event()
-        # The number after which the stream was last requested again, for an unreadable event, a gap or a doubt.
+        # The number after which the stream was last requested again, because of an unreadable event, a gap or a
+        # doubtful list.
         self._requested_again_after = 0
 
     def set_address(self, address: Address) -> None:
-        """Go on at another address, from the number reached."""
+        """Continue at another address, from the sequence number reached."""
         if address != self._address:
             self._address = address
             self._address_changed.set()
 
     def retune(self, settings: Settings) -> None:
         """Use new settings from now on."""
-        self.grace_s = settings.drain_grace
+        self.drain_grace_s = settings.drain_grace
 
     async def run(self) -> None:
         """Watch the change log until cancelled."""
         try:
-            await self._run()
+            await self._watch_until_cancelled()
         finally:
-            if self._doubt_timer is not None:
-                self._doubt_timer.cancel()
+            if self._doubtful_list_timer is not None:
+                self._doubtful_list_timer.cancel()
 
-    async def _run(self) -> None:
-        timeout = aiohttp.ClientTimeout(total=None, connect=CONNECT_TIMEOUT_S, sock_read=SILENCE_S)
+    async def _watch_until_cancelled(self) -> None:
+        timeout = aiohttp.ClientTimeout(total=None, connect=CONNECT_TIMEOUT_S, sock_read=SILENCE_TIMEOUT_S)
         async with aiohttp.ClientSession(
             timeout=timeout, cookie_jar=aiohttp.DummyCookieJar(), trust_env=False, auto_decompress=False
         ) as session:
@@ -93,11 +103,11 @@
                 self._counters.add("changelog.reconnects")
                 if not self._address_changed.is_set():
                     with contextlib.suppress(TimeoutError):
-                        await asyncio.wait_for(self._address_changed.wait(), RECONNECT_S)
+                        await asyncio.wait_for(self._address_changed.wait(), RECONNECT_DELAY_S)
 
     async def _watch_address(self, session: aiohttp.ClientSession) -> None:
-        """One connection to the current address, until it fails or the address changes."""
-        watch = asyncio.ensure_future(self._watch(session))
+        """Keep one connection to the current address until it fails or the address changes."""
+        watch = asyncio.ensure_future(self._watch_once(session))
         changed = asyncio.ensure_future(self._address_changed.wait())
         try:
             # A log that has moved sends nothing more at its old address, but stays open for a while.
@@ -105,74 +115,74 @@
             if watch.done():
                 watch.result()
         except (aiohttp.ClientError, OSError, TimeoutError, BadEventError) as error:
-            log.info("change log: %r", error)
+            log.info("change log connection failed: error=%r", error)
         except Exception:
-            # Guards against a proxy that ends for a response that nobody has thought of.
+            # An unexpected response must not end the proxy.
             self._counters.add("fault.changelog")
-            log.exception("change log")
+            log.exception("change log connection failed unexpectedly")
         finally:
             for task in (watch, changed):
                 task.cancel()
             await asyncio.gather(watch, changed, return_exceptions=True)
 
-    async def _watch(self, session: aiohttp.ClientSession) -> None:
+    async def _watch_once(self, session: aiohttp.ClientSession) -> None:
         parser = EventStreamParser()
-        headers = {"Last-Event-ID": str(self.last), "Accept": "text/event-stream"}
+        headers = {"Last-Event-ID": str(self.last_seq), "Accept": "text/event-stream"}
         url = f"http://{self._address}/changes"
         async with session.get(url, headers=headers, allow_redirects=False) as response:
             if response.status != 200:
-                raise BadEventError(f"status {response.status}")
+                raise BadEventError(f"unexpected status {response.status} of the change log: expected 200")
             try:
                 async for chunk in response.content.iter_any():
                     for event in parser.feed(chunk):
-                        self._handle(event)
+                        self._handle_event(event)
             except asyncio.CancelledError:
-                # What was received before the address changed counts as notified.
+                # Events received before the address changed count as notified.
                 with contextlib.suppress(Exception):
                     for event in parser.feed(response.content.read_nowait()):
-                        self._handle(event)
+                        self._handle_event(event)
                 raise
 
-    def _handle(self, received: ServerSentEvent) -> None:
-        """Apply an event as it was received. One that can't be read is requested again once, then skipped.
+    def _handle_event(self, received: ServerSentEvent) -> None:
+        """Apply a received event. An unreadable one is requested again once, then skipped.
 
-        Guards against a log that would be asked for the same unreadable event for ever, with all that comes
-        after it never applied. Raises BadEventError where the stream is to be requested again.
+        This guards against requesting the same unreadable event for ever, so that no later event would be applied.
+        Raises BadEventError if the stream is to be requested again.
         """
         try:
-            seq, updates = parse_event(received)
+            seq, updates = parse_server_sent_event(received)
         except BadEventError as error:
-            if not self._requested_again():
+            if not self._mark_requested_again():
                 raise
-            self._skip(received, error)
+            self._skip_event(received, error)
             return
-        if seq > self.last + 1 and not self._requested_again():
-            self._post_binding(seq, updates)
-            raise BadEventError(f"{seq} follows {self.last}")
-        if seq > self.last and self._endpoints.is_doubtful(updates) and not self._requested_again():
+        if seq > self.last_seq + 1 and not self._mark_requested_again():
+            self._post_purges_and_drains(seq, updates)
+            raise BadEventError(f"gap in the events: {seq} follows {self.last_seq}")
+        if seq > self.last_seq and self._ready_backends.is_doubtful(updates) and not self._mark_requested_again():
             self._counters.add("changelog.doubtful")
-            self._post_binding(seq, updates)
-            delay_s = DOUBT_PART * (self.grace_s or DEFAULT_GRACE_S)
-            self._doubt_timer = asyncio.get_running_loop().call_later(delay_s, self.apply, seq, updates)
-            raise BadEventError(f"{seq} omits most backends")
-        self.apply(seq, updates)
+            self._post_purges_and_drains(seq, updates)
+            delay_s = DOUBTFUL_LIST_GRACE_FRACTION * (self.drain_grace_s or DEFAULT_DRAIN_GRACE_S)
+            self._doubtful_list_timer = asyncio.get_running_loop().call_later(delay_s, self.apply_event, seq, updates)
+            raise BadEventError(f"the endpoint list of event {seq} omits most backends")
+        self.apply_event(seq, updates)
 
-    def _skip(self, received: ServerSentEvent, error: BadEventError) -> None:
+    def _skip_event(self, received: ServerSentEvent, error: BadEventError) -> None:
         self._counters.add("changelog.unreadable")
-        log.warning("change log: an event after %d is skipped: %s", self.last, error)
-        if received.id.isascii() and received.id.isdigit() and len(received.id) <= MAX_ID_DIGITS:
-            self.last = max(self.last, int(received.id))
-
-    def _requested_again(self) -> bool:
-        """Whether what follows the last number was requested a second time; if not, it is about to be."""
-        again = self._requested_again_after == self.last + 1
-        self._requested_again_after = self.last + 1
+        log.warning("change log event skipped: last_seq=%d error=%s", self.last_seq, error)
+        if received.id.isascii() and received.id.isdigit() and len(received.id) <= MAX_EVENT_ID_DIGITS:
+            self.last_seq = max(self.last_seq, int(received.id))
+
+    def _mark_requested_again(self) -> bool:
+        """Mark the events after the last number as requested again. Return True if they already were."""
+        again = self._requested_again_after == self.last_seq + 1
+        self._requested_again_after = self.last_seq + 1
         return again
 
-    def _post_binding(self, seq: int, updates: Sequence[Update]) -> None:
+    def _post_purges_and_drains(self, seq: int, updates: Sequence[ChangeLogUpdate]) -> None:
         """Post the purges and drains of an event that is requested again.
 
-        Guards against a log that ends right then: its notifications are binding all the same.
+        The change log may end right then, and its notifications are binding all the same.
         """
         for update in updates:
             if isinstance(update, PurgeReceived):
@@ -184,11 +194,11 @@
                 self._early_draining |= {backend.name: seq for backend in ending}
                 self._post(EndpointListUpdate("changes", ending))
 
-    def apply(self, seq: int, updates: Sequence[Update]) -> None:
-        """Post an event's updates, unless it was applied before: the stream may repeat some on a reconnect."""
-        if seq <= self.last:
+    def apply_event(self, seq: int, updates: Sequence[ChangeLogUpdate]) -> None:
+        """Post an event's updates unless they were applied before. The stream may repeat events after a reconnect."""
+        if seq <= self.last_seq:
             return
-        self.last = seq
+        self.last_seq = seq
         self._early_draining = {name: number for name, number in self._early_draining.items() if number > seq}
         posted = {purge for number, purge in self._early_purges if number == seq}
         self._early_purges = {(number, purge) for number, purge in self._early_purges if number > seq}
@@ -196,16 +206,16 @@
             if update in posted:
                 continue
             if isinstance(update, EndpointListUpdate) and self._early_draining:
-                update = EndpointListUpdate(update.kind, tuple(map(self._without_undoing, update.backends)))
-            self._record(update)
+                update = EndpointListUpdate(update.kind, tuple(map(self._keep_early_draining, update.backends)))
+            self._record_endpoints(update)
             self._post(update)
 
-    def _without_undoing(self, backend: Backend) -> Backend:
-        """The backend; draining where a later event that was posted early says so."""
+    def _keep_early_draining(self, backend: Backend) -> Backend:
+        """Return the backend, as draining if a later event that was posted early says so."""
         if backend.state == "ready" and backend.name in self._early_draining:
             return replace(backend, state="draining")
         return backend
 
-    def _record(self, update: Update) -> None:
+    def _record_endpoints(self, update: ChangeLogUpdate) -> None:
         if isinstance(update, EndpointListUpdate):
-            self._endpoints.apply(update)
+            self._ready_backends.apply(update)
--- a/beechslip/platform/client_requests.py
+++ b/beechslip/platform/client_requests.py
@@ -1,4 +1,4 @@
-"""Validation and parsing of clients' HTTP requests: pure functions from heads and bodies to ``ClientRequest``."""
+"""Validate and parse clients' HTTP requests, by pure functions from heads and bodies to ``ClientRequest``."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from beechslip.core.model import ClientRequest
 from beechslip.routing.interface import ClassRule, Settings
 
-MAX_REQUEST_BODY = 48_000  # bytes that a write may carry
-MAX_WAIT_MS = 60_000.0  # no client waits longer; its class's deadline bounds it anyway
-MAX_NAME = 512  # characters of an object's name
-MAX_GROUP = 255  # of X-Set
-# No request can be served whose transfer takes this many times the deadline of its class.
-SIZE_SLACK = 10.0
+MAX_REQUEST_BODY_BYTES = 48_000  # largest body that a write may carry
+MAX_CLIENT_WAIT_MS = 60_000.0  # the longest wait that a client may ask for; its class's deadline bounds it anyway
+MAX_OBJECT_NAME_LENGTH = 512  # characters
+MAX_GROUP_NUMBER = 255  # largest value of X-Set
+# A request whose transfer takes more than this many times the deadline of its class can't be served.
+MAX_TRANSFER_TIME_PER_DEADLINE = 10.0
 
-# Fields that must not be repeated: the request's own, and those that say where it ends.
-SINGLE_FIELDS = frozenset(
+# Fields that must not be repeated: those that the request needs, and those that determine where it ends.
+UNREPEATABLE_FIELDS = frozenset(
     {
         b"content-length",
         b"transfer-encoding",
@@ -43,92 +43,94 @@
     """A request that can't be served, with the HTTP status of its response."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """``reason`` goes to the log alone."""
+        """Create an error. ``reason`` is only written to the log."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
 
 
-def check_fields(fields: Iterable[tuple[bytes, bytes]]) -> None:
-    """Reject a head that two parsers could understand differently; raises BadRequestError.
+def check_header_fields(fields: Iterable[tuple[bytes, bytes]]) -> None:
+    """Reject a head that two parsers could interpret differently. Raises BadRequestError.
 
-    Guards against request smuggling: one parser goes by Content-Length, the next by Transfer-Encoding, and what is
-    body to one is a second request to the other. So with two lengths, and with two ids or keys, of which the backend
-    might take the other one.
+    This guards against request smuggling. If one parser uses Content-Length and the next Transfer-Encoding, what is
+    body to one is a second request to the other. The same holds for two lengths. With two ids or keys, the backend
+    might use the other one.
     """
     seen = set[bytes]()
     for name, value in fields:
         key = name.lower()
-        if key not in SINGLE_FIELDS:
+        if key not in UNREPEATABLE_FIELDS:
             continue
         if key in seen:
-            raise BadRequestError(400, "a field is repeated")
+            raise BadRequestError(400, "a header field is repeated that may occur once")
         seen.add(key)
         if key == b"content-length" and not (value.isdigit() and len(value) <= 18):
-            raise BadRequestError(400, "Content-Length can't be read")
+            raise BadRequestError(400, "invalid Content-Length: expected an integer of at most 18 digits")
         if key == b"transfer-encoding" and value.strip().lower() != b"chunked":
-            raise BadRequestError(400, "Transfer-Encoding can't be read")
+            raise BadRequestError(400, "invalid Transfer-Encoding: expected 'chunked'")
     if b"content-length" in seen and b"transfer-encoding" in seen:
-        raise BadRequestError(400, "both Content-Length and Transfer-Encoding")
+        raise BadRequestError(400, "both Content-Length and Transfer-Encoding are given: expected one of them")
 
 
 def parse_client_request(
     method: str, target: str, headers: Mapping[str, str], body: bytes, arrived_ms: float, settings: Settings
 ) -> ClientRequest:
-    """The request for ``/rpc/CLASS/OBJECT?slice=PART`` with its headers (PROTOCOL-beechslip.md).
+    """Parse a request for ``/rpc/CLASS/OBJECT?slice=PART`` with its headers (PROTOCOL-beechslip.md).
 
     ``arrived_ms`` is when its last byte was received (of ``Clock.now_ms``). Raises BadRequestError.
     """
     path, _, query = target.partition("?")
     rule, name = _parse_path(path, settings)
     if method != ("PUT" if rule.write else "GET"):
-        raise BadRequestError(405, "not a method of this class")
+        raise BadRequestError(405, "method not allowed: expected PUT for a class of writes and GET for other classes")
     part = dict(parse_qsl(query)).get("slice", "0")
     if not _INTEGER.match(part):
-        raise BadRequestError(400, "slice can't be read")
-    wait_ms = float(_field(headers, "Req-Wait-Ms", _NUMBER))
-    if wait_ms > MAX_WAIT_MS:
-        raise BadRequestError(400, "Req-Wait-Ms is out of range")
-    size_kb = float(_field(headers, "Req-Kb", _NUMBER, "0"))
-    if rule.deadline and size_kb > settings.flow_kb_s * rule.deadline * SIZE_SLACK > 0:
-        raise BadRequestError(400, "Req-Kb is out of range")  # it would distort the decision module's mean sizes
+        raise BadRequestError(400, "invalid slice: expected an integer of at most 9 digits")
+    wait_ms = float(_parse_field(headers, "Req-Wait-Ms", _NUMBER))
+    if wait_ms > MAX_CLIENT_WAIT_MS:
+        raise BadRequestError(400, "Req-Wait-Ms is out of range: it exceeds the longest wait that is allowed")
+    size_kb = float(_parse_field(headers, "Req-Kb", _NUMBER, "0"))
+    if rule.deadline and size_kb > settings.flow_kb_s * rule.deadline * MAX_TRANSFER_TIME_PER_DEADLINE > 0:
+        raise BadRequestError(
+            400, "Req-Kb is out of range: its transfer would exceed the deadline"
+        )  # it would distort the decision module's mean sizes
     match = _ETAG.match(headers.get("If-None-Match", "").strip())
-    group = int(_field(headers, "X-Set", _INTEGER, "0"))
-    if group > MAX_GROUP:
-        raise BadRequestError(400, "X-Set can't be read")
+    group = int(_parse_field(headers, "X-Set", _INTEGER, "0"))
+    if group > MAX_GROUP_NUMBER:
+        raise BadRequestError(400, "X-Set is out of range: it exceeds the largest group number")
     return ClientRequest(
-        id=_field(headers, "Req-Id", _ID),
+        id=_parse_field(headers, "Req-Id", _ID),
         class_name=rule.name,
         object=name,
         part=int(part),
         group=group,
         size_kb=size_kb,
-        wait_ms=min(wait_ms, to_ms(rule.deadline) or MAX_WAIT_MS),
+        wait_ms=min(wait_ms, to_ms(rule.deadline) or MAX_CLIENT_WAIT_MS),
         arrived_ms=arrived_ms,
         write=rule.write,
         body=body,
-        token=_field(headers, "Req-Token", _TOKEN, ""),
+        token=_parse_field(headers, "Req-Token", _TOKEN, ""),
         tag=match.group(1) if match else "",
     )
 
 
 def _parse_path(path: str, settings: Settings) -> tuple[ClassRule, str]:
-    """The class and the object's name that a path names; raises BadRequestError."""
+    """Return the class and the object's name given in a path. Raises BadRequestError."""
     pieces = path.split("/")
     if len(pieces) != 4 or pieces[:2] != ["", "rpc"]:
-        raise BadRequestError(404, "no such resource")
+        raise BadRequestError(404, "unknown resource: expected /rpc/CLASS/OBJECT")
     rule = settings.classes.get(unquote(pieces[2]))
     name = unquote(pieces[3])
-    if rule is None or not name or not name.isprintable() or "/" in name or len(name) > MAX_NAME:
-        raise BadRequestError(404, "no such class or object")
+    if rule is None or not name or not name.isprintable() or "/" in name or len(name) > MAX_OBJECT_NAME_LENGTH:
+        raise BadRequestError(404, "unknown class, or invalid object name")
     return rule, name
 
 
-def _field(headers: Mapping[str, str], name: str, form: re.Pattern[str], default: str | None = None) -> str:
-    """A header's value in its form; without a default it is required."""
+def _parse_field(headers: Mapping[str, str], name: str, form: re.Pattern[str], default: str | None = None) -> str:
+    """Return a header's value if it matches ``form``. Without a default, the header is required."""
     value = headers.get(name, default)
     if value is None:
-        raise BadRequestError(400, f"{name} is missing")
+        raise BadRequestError(400, f"missing header {name}")
     if not form.match(value) and value != default:
-        raise BadRequestError(400, f"{name} can't be read")
+        raise BadRequestError(400, f"invalid value of header {name}")
     return value
--- a/beechslip/platform/connection.py
+++ b/beechslip/platform/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a backend: it carries one request at a time and is never pipelined."""
+"""One HTTP/1.1 connection to a backend. It carries one request at a time, and requests are never pipelined."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 from beechslip.platform.responses import BackendResponse, ResponseParser, UnusableResponseError
 from beechslip.platform.sockets import LOCAL_RESOURCE_ERRORS, RetryingSocket
 
-# Failures of a connect that may pass at once and prove nothing yet: of the path to the backend, not of the backend.
+# These connect errors come from the path to the backend, not from the backend. They may be temporary, so a connect
+# that fails with one is retried.
 TRANSIENT_CONNECT_ERRORS = frozenset(
     {errno.ENETUNREACH, errno.ENETDOWN, errno.ECONNABORTED, errno.EINTR, errno.EAGAIN}
 )
-CONNECT_RETRY_S = 0.01  # seconds between two attempts of one connect
+CONNECT_RETRY_S = 0.01  # delay between two attempts of one connect
 
-# A backend's name and address. Both, as a new backend may take the address of one that has gone.
+# A backend's name and address. Both are needed, because a new backend may take the address of one that was removed.
 BackendKey = tuple[str, str]
 
 
 class NoSocketError(OSError):
-    """This machine could not open a connection in time, for want of descriptors, memory or ports."""
+    """This machine could not open a connection in time because it lacked descriptors, memory or ports."""
 
 
 class ConnectionLostError(Exception):
@@ -34,15 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedResponse:
-    """A complete response, and when its last byte was read (ms of ``Clock.now_ms``)."""
+    """A complete response, and the time at which its last byte was read (ms of ``Clock.now_ms``)."""
 
     response: BackendResponse
     read_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
-    """A request's target with the body and digest it was answered with, to recognise a second copy."""
+class CompletedExchange:
+    """The target of a request with the body and digest of its response.
+
+    It is kept to detect a second copy of that response.
+    """
 
     target: str
     body: bytes
@@ -57,9 +61,9 @@
         "_counters",
         "_on_closed",
         "_parser",
+        "_response_waiter",
         "_sock",
         "_transport",
-        "_waiter",
         "idle_since_ms",
         "key",
         "last_exchange",
@@ -73,7 +77,7 @@
         counters: Counters,
         on_closed: Callable[[BackendConnection], None],
     ) -> None:
-        """``sock`` is connected already; ``on_closed`` is called once, when its descriptor is given back."""
+        """Use ``sock``, which is already connected. ``on_closed`` is called once, when its descriptor is released."""
         self.key = key
         self._sock = sock
         self._clock = clock
@@ -81,17 +85,17 @@
         self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
         self._parser: ResponseParser | None = None
-        self._waiter: asyncio.Future[ReceivedResponse] | None = None
+        self._response_waiter: asyncio.Future[ReceivedResponse] | None = None
         self.idle_since_ms = 0.0
-        self.last_exchange: Exchange | None = None
+        self.last_exchange: CompletedExchange | None = None
 
     @property
     def is_open(self) -> bool:
-        """Whether a request can be written to it; False before ``connection_made`` and once it is closing."""
+        """True if a request can be written. False before ``connection_made`` and once the connection is closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """See ``asyncio.BaseProtocol``."""
+        """Keep the transport; see ``asyncio.BaseProtocol``."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
@@ -99,24 +103,25 @@
         """Write a request whose response has at most ``max_body`` bytes of body.
 
         Returns:
-            The future response; it raises ConnectionLostError or UnusableResponseError. ``None`` if not a
-            byte can be written now.
+            The future response, which raises ConnectionLostError or UnusableResponseError. ``None`` if not a
+            single byte can be written now.
         """
-        written = self._write_at_once(message)
+        written = self._write_unbuffered(message)
         if written == 0:
             return None
         self._parser = ResponseParser(max_body)
-        self._waiter = asyncio.get_running_loop().create_future()
+        self._response_waiter = asyncio.get_running_loop().create_future()
         if self._transport is None or self._transport.is_closing() or written is None:
-            self._waiter.set_exception(ConnectionLostError("closed before the first byte"))
+            self._response_waiter.set_exception(ConnectionLostError("connection closed before the first byte"))
         elif written < len(message):
             self._transport.write(message[written:])
-        return self._waiter
+        return self._response_waiter
 
-    def _write_at_once(self, message: bytes) -> int | None:
-        """The number of bytes that the kernel took; ``None`` if the connection has ended.
+    def _write_unbuffered(self, message: bytes) -> int | None:
+        """Return the number of bytes that the kernel took, or ``None`` if the connection has ended.
 
-        A transport would buffer what the kernel can't take, and send it when the request is out of date.
+        The transport is bypassed because it would buffer what the kernel can't take, and would send it when the
+        request is out of date.
         """
         if self._transport is None or self._transport.is_closing():
             return None
@@ -128,51 +133,52 @@
             return None
 
     def data_received(self, data: bytes) -> None:
-        """See ``asyncio.Protocol``; ends the connection where the bytes belong to no request."""
-        if self._parser is None or self._waiter is None or self._waiter.done():
-            # No request is open: a second copy or noise, which must not become the next request's response.
+        """Parse received bytes. Close the connection if they belong to no request."""
+        if self._parser is None or self._response_waiter is None or self._response_waiter.done():
+            # No request is pending: the bytes are a second copy of a response, or noise. They must not be taken for
+            # the response to the next request.
             self._counters.add("depot.unasked")
             self.abort()
             return
         try:
             response = self._parser.feed(data)
         except UnusableResponseError as error:
-            self._waiter.set_exception(error)
+            self._response_waiter.set_exception(error)
             self.abort()
             return
         if response is None:
             return
         self._parser = None
-        self._waiter.set_result(ReceivedResponse(response, self._clock.now_ms()))
-        if not response.reusable:
+        self._response_waiter.set_result(ReceivedResponse(response, self._clock.now_ms()))
+        if not response.is_connection_reusable:
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """See ``asyncio.BaseProtocol``; fails the request that is open."""
-        if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_exception(ConnectionLostError(str(exc or "closed")))
+        """Fail the pending request, if any, and report the connection as closed."""
+        if self._response_waiter is not None and not self._response_waiter.done():
+            self._response_waiter.set_exception(ConnectionLostError(str(exc or "connection closed")))
         self._transport = None
         self._on_closed(self)
 
     def abort(self) -> None:
-        """Close at once; bytes that are still to be received or written are dropped."""
+        """Close the connection at once. Bytes that have not been received or written yet are dropped."""
         if self._transport is not None:
             self._transport.abort()
 
 
-async def connect(address: Address, timeout_s: float) -> socket.socket:
-    """A connected socket. Connects that fail for a passing reason are retried until the timeout.
+async def connect_socket(address: Address, timeout_s: float) -> socket.socket:
+    """Return a connected socket. A connect that fails for a temporary reason is retried until the timeout.
 
     Raises:
         NoSocketError: this machine lacked a resource in the last attempt before the timeout.
-        OSError: the other side, or the path to it, failed (TimeoutError if it did not respond).
+        OSError: the other side, or the path to it, failed (TimeoutError if the other side did not respond).
     """
     last_error: OSError | None = None
     try:
         async with asyncio.timeout(timeout_s):
             while True:
                 try:
-                    return await _connect_once(address)
+                    return await _connect_socket_once(address)
                 except OSError as error:
                     if error.errno not in LOCAL_RESOURCE_ERRORS | TRANSIENT_CONNECT_ERRORS:
                         raise
@@ -184,7 +190,7 @@
         raise
 
 
-async def _connect_once(address: Address) -> socket.socket:
+async def _connect_socket_once(address: Address) -> socket.socket:
     sock = RetryingSocket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
--- a/beechslip/platform/connection_pool.py
+++ b/beechslip/platform/connection_pool.py
@@ -1,4 +1,4 @@
-"""A bounded pool of connections to backends, which are kept open between requests."""
+"""A bounded pool of connections to backends. Connections are kept open between requests."""
 
 from __future__ import annotations
 
@@ -12,53 +12,66 @@
 from beechslip.config import parse_address
 from beechslip.core.model import Backend
 from beechslip.counters import Counters
-from beechslip.platform.connection import BackendConnection, BackendKey, connect
+from beechslip.platform.connection import BackendConnection, BackendKey, connect_socket
 
-# Milliseconds of idleness before a connection is used again. What a backend sends beyond its response comes right
-# behind it: bytes that arrive in this time end the connection instead of being read as the next response.
+# Milliseconds for which a connection must have been idle before it is used again. Bytes that a backend sends beyond
+# its response follow it directly. If they arrive within this time, they close the connection instead of being read as
+# the next response.
 MIN_IDLE_MS = 20.0
 
 
-class ConnectionGate(Protocol):
-    """A bound on one backend's connections beside the pool's own bound (the fleet's budget)."""
+class ConnectionLimiter(Protocol):
+    """A bound on the connections to one backend, in addition to the pool's own bound (the fleet's budget)."""
 
     def may_dial(self, backend: str) -> bool:
-        """Asked right before a dial; a True counts until ``connection_closed``."""
+        """Return True if a connection may be dialled now. The permission counts as used until ``connection_closed``.
+
+        The pool calls this right before it dials.
+        """
         ...
 
     def connection_closed(self, backend: str) -> None:
-        """A dial that was allowed has failed, or its connection has been closed."""
+        """Release a permission: the permitted dial has failed, or its connection has been closed."""
         ...
 
 
 class ConnectionPool:
-    """Owns the connections to backends, and bounds their number, idle ones included."""
+    """Owns the connections to backends and bounds their number. Idle connections count."""
 
     def __init__(
         self, clock: Clock, counters: Counters, max_connections: int, idle_timeout_ms: float, dial_timeout_ms: float
     ) -> None:
-        """Idle connections are not used after ``idle_timeout_ms``; a dial may take ``dial_timeout_ms``."""
+        """Create an empty pool.
+
+        Connections that were idle for more than ``idle_timeout_ms`` are not used again. A dial may take
+        ``dial_timeout_ms``.
+        """
         self.idle_timeout_ms = idle_timeout_ms
         self.dial_timeout_ms = dial_timeout_ms
-        self.gate: ConnectionGate | None = None
+        self.limiter: ConnectionLimiter | None = None
         self._clock = clock
         self._counters = counters
         self._max_connections = max_connections
         self._connections: set[BackendConnection] = set()
-        self._dialling = 0
-        self._idle: dict[BackendKey, deque[BackendConnection]] = {}  # the longest idle first
-        self._waiting: deque[asyncio.Future[None]] = deque()  # for a place in the pool
-        self._gated: dict[str, deque[asyncio.Future[None]]] = {}  # by backend: for a place that the gate allows
-        self._backends: Mapping[str, Backend] | None = None  # the listed ones, by name
-
-    def follow(self, backends: Mapping[str, Backend]) -> None:
-        """Close idle connections to backends that are not listed any more: these may go without closing them."""
+        self._dials_in_progress = 0
+        # By backend, with the connection that has been idle for longest first.
+        self._idle_connections: dict[BackendKey, deque[BackendConnection]] = {}
+        self._pool_waiters: deque[asyncio.Future[None]] = deque()  # waiting for a place in the pool
+        # By backend: callers that wait until the limiter permits a connection.
+        self._limiter_waiters: dict[str, deque[asyncio.Future[None]]] = {}
+        self._backends: Mapping[str, Backend] | None = None  # the listed backends, by name
+
+    def set_listed_backends(self, backends: Mapping[str, Backend]) -> None:
+        """Set the listed backends, and close idle connections to backends that are no longer listed.
+
+        A backend that is no longer listed may disappear without closing its connections.
+        """
         self._backends = backends
-        for key in [key for key in self._idle if not self._listed(key)]:
-            for connection in list(self._idle.pop(key)):
+        for key in [key for key in self._idle_connections if not self._is_listed(key)]:
+            for connection in list(self._idle_connections.pop(key)):
                 connection.abort()
 
-    def _listed(self, key: BackendKey) -> bool:
+    def _is_listed(self, key: BackendKey) -> bool:
         if self._backends is None:
             return True
         name, address = key
@@ -66,39 +79,43 @@
         return backend is not None and backend.address == address
 
     async def acquire(self, key: BackendKey) -> BackendConnection:
-        """A connection with no request on it, which ``release`` gives back.
+        """Return a connection that carries no request. The caller gives it back by ``release``.
 
-        The wait for a place in a full pool is not part of the dial, as it says nothing of the backend.
+        The wait for a place in a full pool does not count as part of the dial, because it says nothing about the
+        backend.
 
         Raises:
-            NoSocketError: this machine could not open one in time.
+            NoSocketError: this machine could not open a connection in time.
             OSError: the backend could not be reached in time.
-            ConfigError: the backend's address can't be read.
+            ConfigError: the backend's address is invalid.
         """
         backend = key[0]
         while (connection := self._take_idle(key)) is None:
-            has_place = not self._full() or self._evict_idle()
-            if has_place and (self.gate is None or self.gate.may_dial(backend)):
+            has_place = not self._is_full() or self._evict_idle()
+            if has_place and (self.limiter is None or self.limiter.may_dial(backend)):
                 return await self._dial(key)
             self._counters.add("depot.waits")
-            await self._wait_for_place(backend, gated=has_place)
+            await self._wait_for_place(backend, by_limiter=has_place)
         return connection
 
-    async def _wait_for_place(self, backend: str, *, gated: bool) -> None:
-        """Until the pool, or the gate of this backend, may have a place."""
+    async def _wait_for_place(self, backend: str, *, by_limiter: bool) -> None:
+        """Wait until the pool may have a place, or until the limiter may permit a connection to this backend."""
         place = asyncio.get_running_loop().create_future()
-        queue = self._gated.setdefault(backend, deque()) if gated else self._waiting
+        queue = self._limiter_waiters.setdefault(backend, deque()) if by_limiter else self._pool_waiters
         queue.append(place)
         try:
             await place
         except asyncio.CancelledError:
             if place.done() and not place.cancelled():
-                self._wake(backend)  # the place goes to the next in the queue
+                self._wake_waiters(backend)  # the place goes to the next waiter in the queue
             raise
 
     def _take_idle(self, key: BackendKey) -> BackendConnection | None:
-        """The longest idle connection that is usable; those past their idle timeout are closed on the way."""
-        idle = self._idle.get(key)
+        """Return the usable connection that has been idle for longest, or ``None``.
+
+        Connections beyond their idle timeout are closed when they are found.
+        """
+        idle = self._idle_connections.get(key)
         now = self._clock.now_ms()
         while idle:
             connection = idle[0]
@@ -106,18 +123,18 @@
             if idle_ms > self.idle_timeout_ms or not connection.is_open:
                 idle.popleft()
                 connection.abort()
-            elif idle_ms >= MIN_IDLE_MS or idle_ms < 0.0 or self._full():
+            elif idle_ms >= MIN_IDLE_MS or idle_ms < 0.0 or self._is_full():
                 return idle.popleft()
             else:
                 return None
         return None
 
-    def _full(self) -> bool:
-        return len(self._connections) + self._dialling >= self._max_connections
+    def _is_full(self) -> bool:
+        return len(self._connections) + self._dials_in_progress >= self._max_connections
 
     def _evict_idle(self) -> bool:
-        """Close the connection that has been idle for the longest, to any backend; False if none is idle."""
-        queues = [queue for queue in self._idle.values() if queue]
+        """Close the connection, to any backend, that has been idle for longest. Return False if none is idle."""
+        queues = [queue for queue in self._idle_connections.values() if queue]
         if not queues:
             return False
         connection = min(queues, key=lambda queue: queue[0].idle_since_ms).popleft()
@@ -133,69 +150,78 @@
             created.append(BackendConnection(key, sock, self._clock, self._counters, self._on_closed))
             return created[0]
 
-        self._dialling += 1
+        self._dials_in_progress += 1
         try:
-            sock = await connect(address, self.dial_timeout_ms / 1000.0)
+            sock = await connect_socket(address, self.dial_timeout_ms / 1000.0)
             try:
                 _, connection = await asyncio.get_running_loop().create_connection(create, sock=sock)
             except BaseException:
                 sock.close()
                 raise
         except BaseException:
-            if not created:  # one that was created reports its end itself
-                self._free_place(key[0])
+            if not created:  # a connection that was created reports its end itself
+                self._release_place(key[0])
             raise
         finally:
-            self._dialling -= 1
+            self._dials_in_progress -= 1
         self._connections.add(connection)
         self._counters.add("depot.dials")
         return connection
 
     def release(self, connection: BackendConnection) -> None:
-        """The connection's request is over: it becomes idle, or is closed if it can't serve another one."""
-        if not connection.is_open or not self._listed(connection.key):
+        """Take back a connection whose request is over. It becomes idle, or is closed if it can't carry another
+        request.
+        """
+        if not connection.is_open or not self._is_listed(connection.key):
             connection.abort()
             return
         connection.idle_since_ms = self._clock.now_ms()
-        self._idle.setdefault(connection.key, deque()).append(connection)
-        self._wake(connection.key[0])
+        self._idle_connections.setdefault(connection.key, deque()).append(connection)
+        self._wake_waiters(connection.key[0])
 
     def _on_closed(self, connection: BackendConnection) -> None:
-        """The one place where a connection's descriptor and its place at the gate are given back."""
+        """Release a connection's descriptor and its permission from the limiter.
+
+        This is the only place that does so.
+        """
         self._connections.discard(connection)
-        idle = self._idle.get(connection.key)
+        idle = self._idle_connections.get(connection.key)
         if idle and connection in idle:
             idle.remove(connection)
         if idle is not None and not idle:
-            del self._idle[connection.key]
-        self._free_place(connection.key[0])
+            del self._idle_connections[connection.key]
+        self._release_place(connection.key[0])
 
-    def _free_place(self, backend: str) -> None:
-        if self.gate is not None:
-            self.gate.connection_closed(backend)
-        self._wake(backend)
+    def _release_place(self, backend: str) -> None:
+        if self.limiter is not None:
+            self.limiter.connection_closed(backend)
+        self._wake_waiters(backend)
 
-    def trim(self, backend: str, max_connections: float) -> None:
-        """The gate allows ``max_connections`` to ``backend`` now: close idle ones beyond, or wake a waiter."""
+    def close_excess_idle(self, backend: str, max_connections: float) -> None:
+        """Apply the limiter's current limit for a backend: close excess idle connections, or wake a waiter."""
         count = sum(connection.key[0] == backend for connection in self._connections)
-        idle = [connection for key, queue in self._idle.items() if key[0] == backend for connection in queue]
+        idle = [
+            connection for key, queue in self._idle_connections.items() if key[0] == backend for connection in queue
+        ]
         for connection in idle[: max(0, math.ceil(count - max_connections))]:
             connection.abort()
         if count + 1 <= max_connections:
-            self._wake(backend)
+            self._wake_waiters(backend)
 
-    def _wake(self, backend: str) -> None:
-        """Wake the first waiter at this backend's gate, and the first for a place in the pool."""
-        for queue in (self._gated.get(backend), self._waiting):
+    def _wake_waiters(self, backend: str) -> None:
+        """Wake the first caller that waits for the limiter at this backend, and the first that waits for a place in
+        the pool.
+        """
+        for queue in (self._limiter_waiters.get(backend), self._pool_waiters):
             while queue:
                 place = queue.popleft()
                 if not place.done():
                     place.set_result(None)
                     break
-        if backend in self._gated and not self._gated[backend]:
-            del self._gated[backend]
+        if backend in self._limiter_waiters and not self._limiter_waiters[backend]:
+            del self._limiter_waiters[backend]
 
     def close(self) -> None:
-        """Close all connections; waiters are left to their own cancellation."""
+        """Close all connections. Waiting callers are not woken; their own cancellation ends them."""
         for connection in list(self._connections):
             connection.abort()
--- a/beechslip/platform/endpoint_list.py
+++ b/beechslip/platform/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The backends in service as the change log has listed them, to recognise a list that is suspiciously short.
+"""The names of the backends in service, kept to detect a list of the change log that is suspiciously short.
 
-Pure: no I/O, no clock.
+The module is pure: it does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -9,31 +9,32 @@
 
 from beechslip.core.messages import EndpointListUpdate
 
-MAX_MISSING = 0.5  # part of the backends in service: a complete list that omits more is requested again
+# If a complete list omits more than this fraction of the backends in service, it is requested again.
+MAX_OMITTED_FRACTION = 0.5
 
 
-class EndpointList:
+class ReadyBackendNames:
     """The names of the backends in service."""
 
     def __init__(self) -> None:
-        """No backend is in service until ``apply``."""
-        self._ready: set[str] = set()
+        """Create an empty set of names. No backend is in service until ``apply``."""
+        self._ready_names: set[str] = set()
 
     def apply(self, update: EndpointListUpdate) -> None:
-        """Take a complete list, or changes; to be called in the order of the change log."""
+        """Apply a complete list or a list of changes. Updates must be applied in the order of the change log."""
         if update.kind != "changes":
-            self._ready.clear()
+            self._ready_names.clear()
         for backend in update.backends:
             if backend.state == "ready":
-                self._ready.add(backend.name)
+                self._ready_names.add(backend.name)
             else:
-                self._ready.discard(backend.name)
+                self._ready_names.discard(backend.name)
 
     def is_doubtful(self, updates: Iterable[object]) -> bool:
-        """Whether the updates contain a complete list that omits most backends in service.
+        """True if the updates contain a complete list that omits most backends in service.
 
-        Guards against a truncated list, after which a proxy would close its connections and refuse nearly
-        all requests until the next one. Harm: a list that is right takes effect a little later.
+        This guards against a truncated list, after which a proxy would close its connections and refuse nearly all
+        requests until the next list. The cost is that a correct list takes effect a little later.
         """
         return any(
             isinstance(update, EndpointListUpdate) and update.kind != "changes" and self._omits_most(update)
@@ -42,4 +43,4 @@
 
     def _omits_most(self, update: EndpointListUpdate) -> bool:
         listed = {backend.name for backend in update.backends if backend.state != "gone"}
-        return len(self._ready - listed) > MAX_MISSING * len(self._ready)
+        return len(self._ready_names - listed) > MAX_OMITTED_FRACTION * len(self._ready_names)
--- a/beechslip/platform/front.py
+++ b/beechslip/platform/front.py
@@ -1,4 +1,4 @@
-"""The HTTP front: clients' requests in, one response out for each."""
+"""The HTTP front: receives clients' requests and sends one response to each."""
 
 from __future__ import annotations
 
@@ -16,55 +16,61 @@
 from beechslip.core.model import AttemptExecutor, FinalResponse
 from beechslip.counters import Counters
 from beechslip.platform.client_connection import ClientConnection
-from beechslip.platform.client_requests import MAX_REQUEST_BODY, BadRequestError, check_fields, parse_client_request
-from beechslip.platform.server import LOOP_BEAT_MS, BoundedServer
-from beechslip.platform.sockets import Listener, listening_socket
+from beechslip.platform.client_requests import (
+    MAX_REQUEST_BODY_BYTES,
+    BadRequestError,
+    check_header_fields,
+    parse_client_request,
+)
+from beechslip.platform.server import LOOP_CHECK_INTERVAL_MS, BoundedServer
+from beechslip.platform.sockets import Listener, open_listening_socket
 from beechslip.routing.interface import Settings
 
-SWEEP_MS = 250.0  # milliseconds between two checks of the connections' time limits
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-CLOSE_S = 2.0  # seconds for a response that is being written when the front closes
-SETTLE_MS = 2_400.0  # for a request that is being read at the drain: no sweep lets one take longer
-BACKLOG = 512  # connections that may wait in the kernel
-# Clients that are diverted keep coming on new connections for 0.3 s: the platform checks /health every 0.1 s and goes
-# by the last answer for 0.2 s more. 4 s after the call nobody may wait here with a request of the last 2 s.
-DIVERTED_MS = 400.0  # after this connections are closed once answered
-DIVERT_REFUSE_MS = 1_800.0  # after this new requests are refused
-LAST_REQUEST_S = 0.02  # seconds for the request of a connection that was accepted at the very end
-# The HTTP status of a failure by its cause.
+EXPIRY_CHECK_INTERVAL_MS = 250.0  # interval between checks of the connections' time limits
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CLOSE_TIMEOUT_S = 2.0  # time for responses that are being written when the front closes
+PENDING_WORK_TIMEOUT_MS = 2_400.0  # for a request that is being read at the drain; longer ones are closed as expired
+LISTEN_BACKLOG = 512  # connections that may wait in the kernel
+# Diverted clients keep arriving on new connections for 0.3 s: the platform checks /health every 0.1 s and uses the
+# last answer for another 0.2 s. 4 s after the operator's call, no client with a request of the last 2 s may still be
+# waiting here.
+DIVERT_CLOSE_AFTER_MS = 400.0  # time after which connections are closed once they have been answered
+DIVERT_REFUSE_AFTER_MS = 1_800.0  # time after which new requests are refused
+LAST_REQUEST_WAIT_S = 0.02  # time for the request of a connection that was accepted at the very end
+# HTTP statuses of failed requests by cause.
 STATUS_BY_CAUSE = {"": 502, "deadline": 504, "duplicate": 409, "fault": 500, "sent before": 502}
 
 
 class HttpResponseSink:
-    """Waits for the final response to one request; the core's ``ResponseSink``."""
+    """Waits for the final response to one request. Implements the core's ``ResponseSink``."""
 
     def __init__(self, connection: ClientConnection) -> None:
-        """``connection``: the one that the request came on."""
+        """Create a sink for a request that was received on ``connection``."""
         self._connection = connection
-        self.final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
+        self.final_response: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
 
-    def answer(self, final: FinalResponse) -> None:
-        """Take the final response; all after the first one are ignored."""
-        if not self.final.done():
-            self.final.set_result(final)
+    def answer(self, final_response: FinalResponse) -> None:
+        """Take the final response. Later calls are ignored."""
+        if not self.final_response.done():
+            self.final_response.set_result(final_response)
 
     @property
     def departed(self) -> bool:
-        """Whether the client has closed its connection."""
-        return self._connection.client_gone
+        """True if the client has closed its connection."""
+        return self._connection.has_client_departed
 
 
-def to_response(final: FinalResponse) -> web.Response:
-    """The wire form of a final response."""
-    payload = final.payload
-    if final.kind == "served" and payload is not None:
+def to_http_response(final_response: FinalResponse) -> web.Response:
+    """Convert a final response to an HTTP response."""
+    payload = final_response.payload
+    if final_response.kind == "served" and payload is not None:
         headers = {"ETag": f'"{payload.tag}"'} if payload.tag else {}
         if payload.same:
             return web.Response(status=304, headers=headers)
         return web.Response(body=payload.body, headers=headers, content_type="application/octet-stream")
-    if final.kind == "refused":
-        return web.Response(status=503, headers={"Srv-Wait-Ms": str(max(round(final.retry_after_ms), 0))})
-    return web.Response(status=STATUS_BY_CAUSE[final.cause])
+    if final_response.kind == "refused":
+        return web.Response(status=503, headers={"Srv-Wait-Ms": str(max(round(final_response.retry_after_ms), 0))})
+    return web.Response(status=STATUS_BY_CAUSE[final_response.cause])
 
 
 class HttpFront:
@@ -79,45 +85,49 @@
         counters: Counters,
         sockets: int = 1024,
     ) -> None:
-        """``post`` hands messages to the engine; ``sockets``: the descriptors that the process may use."""
+        """Create a front that does not listen yet.
+
+        ``post`` passes messages to the engine. ``sockets`` is the number of descriptors that the process may use.
+        """
         self._settings = settings
         self._clock = clock
         self._executor = executor
         self._post = post
         self._counters = counters
         self._listener: Listener | None = None
-        self._sweep_alarm: Alarm | None = None
-        self._beat_alarm: Alarm | None = None
-        self._draining = False
-        self._handing_over = False
+        self._expiry_alarm: Alarm | None = None
+        self._loop_check_alarm: Alarm | None = None
+        self._is_draining = False
+        self._has_stopped_accepting = False
         self._diverting_since_ms: float | None = None
         self.port = 0
-        # Usual clients need a third of the descriptors at the most; what others hold beyond is closed in time.
-        self._server = BoundedServer(self._handle, clock, counters, max(sockets // 2, 1))
+        # Normal clients need at most a third of the descriptors. Connections that others hold beyond that are closed
+        # in time.
+        self._server = BoundedServer(self._handle_request, clock, counters, max(sockets // 2, 1))
 
     @property
     def ready(self) -> bool:
-        """Whether clients are to come: it listens, and neither drains nor diverts them."""
-        return self._listener is not None and not self._draining and not self.diverting
+        """True if clients should connect: the front listens, is not draining and does not divert clients."""
+        return self._listener is not None and not self._is_draining and not self.is_diverting
 
     async def start(self, listen: Address, fd: int | None = None) -> None:
-        """Listen at the address, or on the platform's socket ``fd``, which its next process inherits as well.
+        """Listen at the address, or on the platform's socket ``fd``, which the next process inherits as well.
 
-        Raises OSError where the address can't be had.
+        Raises OSError if the address is not available.
         """
-        # Guards against an upgrade that fails: the address is in use while the platform holds its socket.
-        sock = await listening_socket(listen, BACKLOG) if fd is None else socket.socket(fileno=fd)
+        # Binding the address again would fail an upgrade: it is in use while the platform holds its socket.
+        sock = await open_listening_socket(listen, LISTEN_BACKLOG) if fd is None else socket.socket(fileno=fd)
         if fd is not None:
-            sock.listen(BACKLOG)
+            sock.listen(LISTEN_BACKLOG)
         self._listener = Listener(sock, self._server, self._counters)
         self.port = self._listener.port
-        self._sweep()
-        self._beat()
+        self._close_expired_connections()
+        self._record_loop_run()
 
     def divert_clients(self) -> None:
-        """An operator drains this proxy: /health says no, and clients are to leave, until ``readmit_clients``.
+        """Tell clients to leave because an operator drains this proxy: /health says no until ``readmit_clients``.
 
-        Requests that still arrive are served, as some always do; connections are closed once no new ones are due.
+        Some requests still arrive and are served. Connections are closed once no new ones are expected.
         """
         if self._diverting_since_ms is None:
             self._diverting_since_ms = self._clock.now_ms()
@@ -127,46 +137,48 @@
         self._diverting_since_ms = None
 
     @property
-    def diverting(self) -> bool:
-        """Whether an operator has drained this proxy."""
+    def is_diverting(self) -> bool:
+        """True if an operator has drained this proxy."""
         return self._diverting_since_ms is not None
 
     def retune(self, settings: Settings) -> None:
-        """Use new settings for requests from now on."""
+        """Use new settings for all requests from now on."""
         self._settings = settings
 
     def _diverting_for_ms(self) -> float:
         return -1.0 if self._diverting_since_ms is None else self._clock.now_ms() - self._diverting_since_ms
 
-    def hand_over(self) -> None:
-        """The next process accepts from the same socket: stop accepting, and close connections once answered.
+    def stop_accepting(self) -> None:
+        """Stop accepting connections, because the next process accepts from the same socket.
 
-        Guards against rejecting clients unheard: those that this process accepts and has no time for.
+        Connections are closed once they have been answered. This guards against rejecting clients whose connections
+        this process would accept without time to answer them.
         """
-        self._handing_over = True
+        self._has_stopped_accepting = True
         if self._listener is not None:
             self._listener.close()
 
-    def _sweep(self) -> None:
-        self._server.sweep()
-        if self._diverting_for_ms() >= DIVERTED_MS:
+    def _close_expired_connections(self) -> None:
+        self._server.close_expired()
+        if self._diverting_for_ms() >= DIVERT_CLOSE_AFTER_MS:
             self._server.close_idle()
-        self._sweep_alarm = self._clock.call_later(SWEEP_MS, self._sweep)
+        self._expiry_alarm = self._clock.call_later(EXPIRY_CHECK_INTERVAL_MS, self._close_expired_connections)
 
-    def _beat(self) -> None:
-        self._server.record_loop_beat()
-        self._beat_alarm = self._clock.call_later(LOOP_BEAT_MS, self._beat)
+    def _record_loop_run(self) -> None:
+        self._server.record_loop_run()
+        self._loop_check_alarm = self._clock.call_later(LOOP_CHECK_INTERVAL_MS, self._record_loop_run)
 
     def drain(self) -> None:
-        """Begin the graceful shutdown: refuse new requests, and keep only connections with open ones.
+        """Begin the graceful shutdown: refuse new requests, and keep only connections with pending ones.
 
-        It goes on listening to the end: what the kernel has accepted must get a response, if only a refusal.
+        The front keeps listening until the end: every connection that the kernel has accepted must get a response,
+        even if it is only a refusal.
         """
-        self._draining = True
+        self._is_draining = True
         self._server.close_idle()
 
-    async def settle(self, within_ms: float = SETTLE_MS) -> None:
-        """Until no request is pending or partly read and no response partly sent, or the time is over."""
+    async def finish_pending_work(self, within_ms: float = PENDING_WORK_TIMEOUT_MS) -> None:
+        """Wait until no request is pending or partly read and no response is partly sent, or until the timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_ms / 1000.0):
                 while True:
@@ -174,46 +186,53 @@
                     if self._listener is None:
                         return
                     await self._listener.accept_all()
-                    if not self._server.any_connection(lambda one: one.has_pending_work or one.is_new):
+                    if not self._server.any_connection(
+                        lambda one: one.has_pending_work or one.is_awaiting_first_byte
+                    ):
                         return
-                    await asyncio.sleep(LAST_REQUEST_S)
+                    await asyncio.sleep(LAST_REQUEST_WAIT_S)
                     self._server.close_idle(unfinished=True)
 
     async def close(self) -> None:
-        """Stop listening and close all connections; responses that are being written get up to twice CLOSE_S."""
-        for alarm in (self._sweep_alarm, self._beat_alarm):
+        """Stop listening and close all connections.
+
+        Responses that are being written get up to twice CLOSE_TIMEOUT_S.
+        """
+        for alarm in (self._expiry_alarm, self._loop_check_alarm):
             if alarm is not None:
                 alarm.cancel()
         if self._listener is not None:
             self._listener.close()
-        self._server.close_idle(unfinished=True)  # aiohttp would wait for each as for one with a request
-        await self._server.shutdown(CLOSE_S)
+        self._server.close_idle(unfinished=True)  # aiohttp would wait for each of these as if it had a request
+        await self._server.shutdown(CLOSE_TIMEOUT_S)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(CLOSE_S):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self._server.wait_while_any(lambda one: one.has_unsent_bytes)
 
-    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         connection: Any = request.protocol
         try:
-            response = await self._answer(request, connection)
+            response = await self._respond(request, connection)
         finally:
             connection.request_done()
-        # What its client has sent behind the request must be answered too, before the connection is closed.
-        closing = self._handing_over or self._draining or self._diverting_for_ms() >= DIVERTED_MS
+        # Input that the client has sent after the request must be answered too, before the connection is closed.
+        closing = (
+            self._has_stopped_accepting or self._is_draining or self._diverting_for_ms() >= DIVERT_CLOSE_AFTER_MS
+        )
         if closing and not connection.has_more_input:
             response.force_close()
         return response
 
-    async def _answer(self, request: web.BaseRequest, connection: ClientConnection) -> web.StreamResponse:
+    async def _respond(self, request: web.BaseRequest, connection: ClientConnection) -> web.StreamResponse:
         if request.path == "/health":
-            if not self.diverting:
+            if not self.is_diverting:
                 return web.Response(text="ok")
             return web.Response(status=503, text="drained")
         try:
             body = await self._read_body(request)
-            connection.request_complete(body=request.body_exists)
-            # The client's time runs from its last byte, not from when this task got to it.
-            call = parse_client_request(
+            connection.request_received(body=request.body_exists)
+            # The client's time runs from the request's last byte, not from when this task handles it.
+            client_request = parse_client_request(
                 request.method,
                 request.raw_path,
                 request.headers,
@@ -222,43 +241,44 @@
                 self._settings,
             )
         except BadRequestError as error:
-            return self._server.reject(error)
-        refusing = self._draining or self._diverting_for_ms() >= DIVERT_REFUSE_MS
-        if refusing or connection.client_gone or request.transport is None:
-            # Handled after its connection has ended, a request would be executed in vain: nobody awaits its response.
-            return to_response(FinalResponse("refused"))
+            return self._server.reject_request(error)
+        refusing = self._is_draining or self._diverting_for_ms() >= DIVERT_REFUSE_AFTER_MS
+        if refusing or connection.has_client_departed or request.transport is None:
+            # The connection ended before the request was handled. Executing the request would be useless, as nobody
+            # awaits the response.
+            return to_http_response(FinalResponse("refused"))
         response_sink = HttpResponseSink(connection)
-        self._post(RequestReceived(call, self._executor, response_sink))
+        self._post(RequestReceived(client_request, self._executor, response_sink))
         try:
-            return to_response(await response_sink.final)
+            return to_http_response(await response_sink.final_response)
         except asyncio.CancelledError:
-            self._post(ClientDisconnected(call.id, response_sink))
+            self._post(ClientDisconnected(client_request.id, response_sink))
             raise
 
     async def _read_body(self, request: web.BaseRequest) -> bytes:
-        """The body of a request whose head is valid; raises BadRequestError."""
-        check_fields(request.raw_headers)
-        if (request.content_length or 0) > MAX_REQUEST_BODY:
+        """Return the body of a request whose head is valid. Raises BadRequestError."""
+        check_header_fields(request.raw_headers)
+        if (request.content_length or 0) > MAX_REQUEST_BODY_BYTES:
             raise BadRequestError(413, "the body is too long")
         if not request.body_exists:
             return b""
-        # An invalid head is reported before the body is read.
+        # Report an invalid head before the body is read.
         parse_client_request(request.method, request.raw_path, request.headers, b"", 0.0, self._settings)
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
-            request.transport.write(CONTINUE)  # its client may wait for this before it sends the body
+            request.transport.write(CONTINUE_RESPONSE)  # the client may wait for this before it sends the body
         return await self._receive_body(request)
 
     async def _receive_body(self, request: web.BaseRequest) -> bytes:
-        """The body, within its limit: a longer one is rejected before it fills the memory.
+        """Return the body, and reject one beyond the limit before it fills the memory.
 
-        A slow one is ended by the sweep, with its connection.
+        A client that sends its body too slowly is closed by the check for expired connections.
         """
         body = bytearray()
         try:
             async for chunk in request.content.iter_any():
                 body += chunk
-                if len(body) > MAX_REQUEST_BODY:
+                if len(body) > MAX_REQUEST_BODY_BYTES:
                     raise BadRequestError(413, "the body is too long")
         except (web.RequestPayloadError, ConnectionError, ValueError) as error:
-            raise BadRequestError(400, f"the body can't be read: {error}") from None
+            raise BadRequestError(400, f"reading the body failed: {error}") from None
         return bytes(body)
--- a/beechslip/platform/server.py
+++ b/beechslip/platform/server.py
@@ -1,4 +1,4 @@
-"""The listening side of HTTP: aiohttp's low-level server with a bound and time limits on its connections."""
+"""aiohttp's low-level HTTP server, with a bound and time limits on its connections."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
 
 log = logging.getLogger("beechslip.front")
 
-# A client that sends nothing, or a part of a request, must be closed within 3 s of connecting; 60 MB within 6 s.
-READ_MS = 2_200.0  # from connecting, or from a later request's first byte, until the request is complete
-IDLE_MS = 5_000.0  # after a response; clients close after 4 s, and some keep their connection for good
-LOOP_BEAT_MS = 25.0  # how often the event loop records that it runs
-STALL_MS = 25.0  # a record later than by this shows a stall
-AFTER_STALL_MS = 20.0  # within this after a stall all that waited is read
-# Seconds of aiohttp's own timer, which is of no use here: ``sweep`` closes idle connections.
-KEEPALIVE_S = 86_400.0
-LOGGED_PER_S = 10  # lines a second about bad requests: in a flood each would cost CPU that the others need
+# The time from connecting, or from the first byte of a later request, until the request is complete. A client that
+# sends nothing, or only a part of a request, must be closed within 3 s of connecting. A client that sends 60 MB must
+# be closed within 6 s.
+REQUEST_READ_TIMEOUT_MS = 2_200.0
+IDLE_TIMEOUT_MS = 5_000.0  # after a response; clients close after 4 s, but some never close
+LOOP_CHECK_INTERVAL_MS = 25.0  # interval at which the event loop records that it runs
+STALL_THRESHOLD_MS = 25.0  # a record that is later than this indicates a stall
+AFTER_STALL_WINDOW_MS = 20.0  # within this time after a stall, everything that waited is read
+# aiohttp's own timer, in seconds. It is not needed here, because ``close_expired`` closes idle connections.
+AIOHTTP_KEEPALIVE_S = 86_400.0
+MAX_LOG_LINES_PER_S = 10  # log lines about bad requests; in a flood, each would cost CPU that other requests need
 
 
 class BoundedServer(web.Server):
-    """aiohttp's low-level server; owns the clients' connections, their bound and their time limits."""
+    """aiohttp's low-level server. Owns the clients' connections, their bound and their time limits."""
 
     def __init__(
         self,
@@ -38,140 +40,155 @@
         clock: Clock,
         counters: Counters,
         max_connections: int,
-        read_ms: float = READ_MS,
+        request_read_timeout_ms: float = REQUEST_READ_TIMEOUT_MS,
     ) -> None:
-        """``read_ms``: how long a client may take to send a request."""
-        # A client that leaves cancels its handler, which frees its attempt.
+        """Create a server for ``handler``. A client may take ``request_read_timeout_ms`` to send a request."""
+        # When a client leaves, aiohttp cancels its handler, which releases its attempt.
         super().__init__(handler, handler_cancellation=True)
         self.clock = clock
         self.counters = counters
         self._max_connections = max_connections
-        self._read_ms = read_ms
-        self._open: dict[ClientConnection, None] = {}  # by state_since_ms, the oldest first
-        self._closing: set[ClientConnection] = set()  # closed here, perhaps with a response still to be sent
-        self._progress = asyncio.Event()  # set when a connection's pending work may have ended
-        self._log_window_ms = 0.0  # when the current second of log lines began
-        self._logged = 0  # lines in it
-        self._loop_beat_ms = 0.0
-        self._stall_began_ms = 0.0  # the last record before the last stall
+        self._request_read_timeout_ms = request_read_timeout_ms
+        self._open_connections: dict[ClientConnection, None] = {}  # ordered by state_since_ms, oldest first
+        # Connections that are being closed. A response on one may still have to be sent.
+        self._closing_connections: set[ClientConnection] = set()
+        self._progress_event = asyncio.Event()  # set when a connection's pending work may have ended
+        self._log_window_ms = 0.0  # start of the current one-second window for log lines
+        self._logged_in_window = 0  # log lines written in that window
+        self._last_loop_run_ms = 0.0
+        self._stall_began_ms = 0.0  # the last record before the latest stall
         self._stall_ended_ms = -math.inf
 
     def __call__(self, sock: RetryingSocket | None = None) -> web.RequestHandler:
-        """The protocol of a new connection on ``sock``."""
-        # None is aiohttp's way to have no access log, though its annotation does not allow it. Lingering
-        # would read on for 10 s from a client that is rejected while it sends 60 MB.
+        """Return the protocol of a new connection on ``sock``."""
+        # aiohttp disables its access log for None, although its annotation does not allow None. Lingering would keep
+        # reading for 10 s from a client that is rejected while it sends 60 MB.
         return ClientConnection(
             self,
             loop=self._loop,
             access_log=None,  # type: ignore[arg-type]
-            keepalive_timeout=KEEPALIVE_S,
+            keepalive_timeout=AIOHTTP_KEEPALIVE_S,
             lingering_time=0.0,
-        ).attach(self, sock)
+        ).attach_to_server(self, sock)
 
     def _make_request(self, message: Any, payload: Any, protocol: Any, *how: Any) -> web.BaseRequest:
         protocol.begin_request(payload)
         return super()._make_request(message, payload, protocol, *how)
 
-    def record_loop_beat(self) -> None:
-        """Record that the event loop runs; to be called every LOOP_BEAT_MS.
+    def record_loop_run(self) -> None:
+        """Record that the event loop runs. This must be called every LOOP_CHECK_INTERVAL_MS.
 
-        A process that was stopped while it waited for events runs its timers first, and reads what came meanwhile
-        after them: so a late record notes the stall for the reads that follow it.
+        A process that was stopped while it waited for events runs its timers first. It reads what arrived meanwhile
+        after them. A late record therefore notes the stall for the reads that follow it.
         """
         now_ms = self.clock.now_ms()
         if self._is_stall(now_ms):
-            self._stall_began_ms = self._loop_beat_ms
+            self._stall_began_ms = self._last_loop_run_ms
             self._stall_ended_ms = now_ms
-        self._loop_beat_ms = now_ms
+        self._last_loop_run_ms = now_ms
 
-    def stalled_ms(self) -> float:
-        """How long what is read now may have waited, as the event loop did not run; 0 as long as it runs."""
+    def loop_stall_ms(self) -> float:
+        """Return how long bytes read now may have waited because the event loop was stalled; 0 without a stall."""
         now_ms = self.clock.now_ms()
         if self._is_stall(now_ms):
-            return now_ms - self._loop_beat_ms
-        return now_ms - self._stall_began_ms if now_ms - self._stall_ended_ms < AFTER_STALL_MS else 0.0
+            return now_ms - self._last_loop_run_ms
+        return now_ms - self._stall_began_ms if now_ms - self._stall_ended_ms < AFTER_STALL_WINDOW_MS else 0.0
 
     def _is_stall(self, now_ms: float) -> bool:
-        return bool(self._loop_beat_ms) and now_ms - self._loop_beat_ms > LOOP_BEAT_MS + STALL_MS
+        return (
+            bool(self._last_loop_run_ms)
+            and now_ms - self._last_loop_run_ms > LOOP_CHECK_INTERVAL_MS + STALL_THRESHOLD_MS
+        )
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection's descriptor has been given back."""
-        self._open.pop(connection, None)
-        self._closing.discard(connection)
-        self._progress.set()
+        """Remove a connection whose descriptor has been released."""
+        self._open_connections.pop(connection, None)
+        self._closing_connections.discard(connection)
+        self._progress_event.set()
 
     def request_done(self) -> None:
-        """A request on a connection has its response."""
-        self._progress.set()
+        """Note that a request on a connection has received its response."""
+        self._progress_event.set()
 
     def admit(self, connection: ClientConnection) -> None:
-        """Count a new connection; over the bound evict the longest idle one, never one with a pending request.
+        """Add a new connection. Above the bound, evict the connection that has been idle for longest.
 
-        Guards against clients that keep a connection for good: without descriptors nobody else gets in. A connection
-        with a part of a request is evicted only where none is idle, and one with unsent bytes of a response after it.
+        A connection with a pending request is never evicted. This guards against clients that keep a connection open
+        indefinitely: without free descriptors, no other client can connect. A connection with a partial request is
+        evicted only if none is idle. The same holds for one with unsent bytes of a response.
         """
-        self._open[connection] = None
-        if len(self._open) <= self._max_connections:
+        self._open_connections[connection] = None
+        if len(self._open_connections) <= self._max_connections:
             return
-        evictable = [one for one in self._open if not one.has_pending_request]
-        idle = next((one for one in evictable if not one.partly_read and not one.has_unsent_bytes), None)
-        self._close(idle or next(iter(evictable), connection), "closed.room")
+        evictable = [one for one in self._open_connections if not one.has_pending_request]
+        idle = next((one for one in evictable if not one.has_partial_request and not one.has_unsent_bytes), None)
+        self._close_connection(idle or next(iter(evictable), connection), "closed.room")
 
-    def state_changed(self, connection: ClientConnection) -> None:
-        """The connection is idle, or a request on it incomplete, from now on: it is the newest in its state."""
-        if connection in self._open:
-            del self._open[connection]
-            self._open[connection] = None
+    def connection_state_changed(self, connection: ClientConnection) -> None:
+        """Move a connection to the end of the order by state, because it has just become idle or begun a request."""
+        if connection in self._open_connections:
+            del self._open_connections[connection]
+            self._open_connections[connection] = None
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that have been idle, silent or partway through a request for too long."""
         now = self.clock.now_ms()
-        for connection in list(self._open):
-            # A client that does not read its response will read none of those that it has requested behind it.
-            unread = connection.has_unsent_bytes and not connection.handling
+        for connection in list(self._open_connections):
+            # A client that does not read its response will not read the responses to the requests that it sent after
+            # it either.
+            unread = connection.has_unsent_bytes and not connection.is_handling_request
             if connection.has_pending_request and not unread:
                 continue
-            partial = connection.awaiting_request and not unread
-            if now - connection.state_since_ms > (self._read_ms if partial else IDLE_MS):
-                self._close(connection, "closed.partial" if partial else "closed.idle")
-        self._progress.set()
+            partial = connection.is_awaiting_request and not unread
+            if now - connection.state_since_ms > (self._request_read_timeout_ms if partial else IDLE_TIMEOUT_MS):
+                self._close_connection(connection, "closed.partial" if partial else "closed.idle")
+        self._progress_event.set()
 
     def close_idle(self, *, unfinished: bool = False) -> None:
-        """Close idle connections; ``unfinished``: also those without a request, or with only a part of one."""
-        for connection in list(self._open):
-            if not connection.has_pending_request and (unfinished or not connection.awaiting_request):
-                self._close(connection, "closed.idle", flush=True)
+        """Close idle connections.
+
+        With ``unfinished``, also close those that have sent no request or only a part of one.
+        """
+        for connection in list(self._open_connections):
+            if not connection.has_pending_request and (unfinished or not connection.is_awaiting_request):
+                self._close_connection(connection, "closed.idle", flush=True)
 
     def any_connection(self, condition: Callable[[ClientConnection], bool]) -> bool:
-        """Whether the condition holds for any connection that is open or being closed."""
-        return any(condition(connection) for connection in [*self._open, *self._closing])
+        """True if the condition holds for any connection that is open or being closed."""
+        return any(condition(connection) for connection in [*self._open_connections, *self._closing_connections])
 
     async def wait_while_any(self, condition: Callable[[ClientConnection], bool]) -> None:
-        """Until the condition holds for no connection; ``sweep`` has it checked anew, and closes what is stuck."""
+        """Wait until the condition holds for no connection.
+
+        ``close_expired`` causes the condition to be checked again, and closes connections that are stuck.
+        """
         while self.any_connection(condition):
-            self._progress.clear()
-            await self._progress.wait()
+            self._progress_event.clear()
+            await self._progress_event.wait()
 
-    def _close(self, connection: ClientConnection, counter: str, *, flush: bool = False) -> None:
-        """Close a connection; ``flush``: its unsent bytes are still sent."""
+    def _close_connection(self, connection: ClientConnection, counter: str, *, flush: bool = False) -> None:
+        """Close a connection. With ``flush``, its unsent bytes are still sent."""
         self.counters.add(counter)
-        del self._open[connection]
+        del self._open_connections[connection]
         if connection.raw_transport is not None and connection.has_unsent_bytes and not flush:
-            # Guards against clients that don't read: their connection would stay until they do.
+            # Without the abort, the connection of a client that does not read would stay open until it reads.
             connection.raw_transport.abort()
-        self._closing.add(connection)
+        self._closing_connections.add(connection)
         connection.force_close()
 
-    def reject(self, error: BadRequestError) -> web.Response:
-        """The response to a request that can't be served; always counted, logged up to LOGGED_PER_S."""
+    def reject_request(self, error: BadRequestError) -> web.Response:
+        """Return the response to a request that can't be served.
+
+        Each one is counted. At most MAX_LOG_LINES_PER_S are logged per second.
+        """
         self.counters.add("bad_request")
         now = self.clock.now_ms()
         if now - self._log_window_ms >= 1000.0:
             self._log_window_ms = now
-            self._logged = 0
-        self._logged += 1
-        if self._logged <= LOGGED_PER_S:
-            log.info("bad request: %.200s", error.reason.replace("\n", " "))
+            self._logged_in_window = 0
+        self._logged_in_window += 1
+        if self._logged_in_window <= MAX_LOG_LINES_PER_S:
+            log.info("bad request: reason=%.200s", error.reason.replace("\n", " "))
         response = web.Response(status=error.status)
         response.force_close()
         return response
--- a/beechslip/platform/sockets.py
+++ b/beechslip/platform/sockets.py
@@ -1,4 +1,4 @@
-"""TCP sockets that survive system calls which fail for a moment: listen, accept, connect, send and receive."""
+"""TCP sockets that retry system calls which fail temporarily: listen, accept, connect, send and receive."""
 
 from __future__ import annotations
 
@@ -15,57 +15,58 @@
 
 log = logging.getLogger("beechslip.sockets")
 
-# Failures for want of this machine's own resources: they pass, and say nothing of the other side.
+# These errors mean that this machine lacks a resource. They are temporary, and say nothing about the other side.
 LOCAL_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
-MAX_ACCEPTS = 8  # connections accepted in one step of the loop: more would outrun the bound on descriptors
-ACCEPT_RETRY_S = 0.005  # after a failed accept, whatever the cause; asyncio's own servers pause for a second
-LISTEN_RETRY_S = 0.05  # seconds between two attempts to listen
-LISTEN_TIMEOUT_S = 10.0  # seconds for which listening is attempted
+MAX_ACCEPTS_PER_STEP = 8  # connections accepted in one event loop step; more would exceed the bound on descriptors
+ACCEPT_RETRY_S = 0.005  # delay after a failed accept, whatever the cause; asyncio's own servers pause for a second
+LISTEN_RETRY_S = 0.05  # delay between two attempts to listen
+LISTEN_TIMEOUT_S = 10.0  # time after which attempts to listen are given up
 
 
 class RetryingSocket(socket.socket):
-    """A socket that reports a passing want of kernel memory as "would block", so that its transport retries.
+    """A socket that reports a temporary lack of kernel memory as "would block", so that its transport retries.
 
-    A plain socket's transport would close the connection.
+    With a plain socket, the transport would close the connection.
     """
 
-    blocked_since: float | None = None  # since when received bytes may have waited here (of ``time.monotonic``)
+    # The time (``time.monotonic``) since which received bytes may have been waiting here.
+    unread_since: float | None = None
 
-    def take_blocked_ms(self) -> float:
-        """How long what was just read may have waited for failing calls; resets the measurement."""
-        since = self.blocked_since
-        self.blocked_since = None
+    def take_read_delay_ms(self) -> float:
+        """Return how long the bytes just read may have waited because calls failed, and reset the measurement."""
+        since = self.unread_since
+        self.unread_since = None
         return 0.0 if since is None else (time.monotonic() - since) * 1000.0
 
     def send(self, data: Any, flags: int = 0, /) -> int:
-        """See ``socket.socket.send``; raises BlockingIOError also for a want of memory."""
+        """Send as ``socket.socket.send`` does, but raise BlockingIOError also if the kernel lacks memory."""
         try:
             return super().send(data, flags)
         except OSError as error:
             raise _as_would_block(error) from None
 
     def recv(self, size: int, flags: int = 0, /) -> bytes:
-        """See ``socket.socket.recv``; raises BlockingIOError also for a want of memory."""
+        """Receive as ``socket.socket.recv`` does, but raise BlockingIOError also if the kernel lacks memory."""
         try:
             return super().recv(size, flags)
         except OSError as error:
             mapped = _as_would_block(error)
-            if mapped is not error and self.blocked_since is None:
-                self.blocked_since = time.monotonic()
+            if mapped is not error and self.unread_since is None:
+                self.unread_since = time.monotonic()
             raise mapped from None
 
 
 def _as_would_block(error: OSError) -> OSError:
-    """BlockingIOError, which a transport retries, for a want of memory that passes; else the error itself."""
+    """Return BlockingIOError, which a transport retries, for a temporary lack of memory, else the error itself."""
     if error.errno in (errno.ENOBUFS, errno.ENOMEM):
         return BlockingIOError(errno.EAGAIN, str(error))
     return error
 
 
-async def listening_socket(listen: Address, backlog: int) -> socket.socket:
-    """A listening socket that queues up to ``backlog`` connections for their accept.
+async def open_listening_socket(listen: Address, backlog: int) -> socket.socket:
+    """Return a listening socket that queues up to ``backlog`` connections until they are accepted.
 
-    Attempts that fail for a reason which may pass are repeated for LISTEN_TIMEOUT_S. Raises OSError.
+    Attempts that fail for a temporary reason are repeated for LISTEN_TIMEOUT_S. Raises OSError.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + LISTEN_TIMEOUT_S
@@ -75,7 +76,7 @@
         except OSError as error:
             if error.errno not in LOCAL_RESOURCE_ERRORS or loop.time() >= deadline:
                 raise
-            log.warning("can't listen on %s yet: %s", listen, error)
+            log.warning("listening failed, retrying: address=%s error=%s", listen, error)
         await asyncio.sleep(LISTEN_RETRY_S)
 
 
@@ -88,73 +89,74 @@
         create_protocol: Callable[[RetryingSocket], asyncio.BaseProtocol],
         counters: Counters,
     ) -> None:
-        """Starts to accept from ``sock``, which listens already, on the running loop."""
+        """Start to accept connections from ``sock``, which is already listening, on the running event loop."""
         self._sock = sock
         self._create_protocol = create_protocol
         self._counters = counters
         self._loop = asyncio.get_running_loop()
         self._retry_timer: asyncio.TimerHandle | None = None
-        self._failing_since: float | None = None  # accepts have failed since (of ``time.monotonic``)
-        self._starting: set[asyncio.Task[Any]] = set()
+        # The time (``time.monotonic``) since which accepts have been failing.
+        self._accept_failing_since: float | None = None
+        self._start_tasks: set[asyncio.Task[Any]] = set()
         self.port: int = sock.getsockname()[1]
         sock.setblocking(False)
-        self._loop.add_reader(sock, self._accept_some)
+        self._loop.add_reader(sock, self._accept_batch)
 
-    def _accept_some(self) -> None:
-        for _ in range(MAX_ACCEPTS):
-            if not self._accept():
+    def _accept_batch(self) -> None:
+        for _ in range(MAX_ACCEPTS_PER_STEP):
+            if not self._accept_one():
                 return
 
-    def _accept(self) -> bool:
-        """Accept one connection; whether there may be more now."""
+    def _accept_one(self) -> bool:
+        """Accept one connection. Return True if more may be waiting."""
         try:
             accepted, _ = self._sock.accept()
         except (BlockingIOError, InterruptedError):
-            self._failing_since = None  # no connection waits
+            self._accept_failing_since = None  # no connection is waiting
             return False
         except OSError as error:
-            self._failing_since = self._failing_since or time.monotonic()
+            self._accept_failing_since = self._accept_failing_since or time.monotonic()
             self._counters.add(f"accept.{errno.errorcode.get(error.errno or 0, 'failed').lower()}")
-            self._pause()
+            self._pause_accepting()
             return False
         sock = RetryingSocket(fileno=accepted.detach())
-        sock.blocked_since = self._failing_since
+        sock.unread_since = self._accept_failing_since
         sock.setblocking(False)
-        task = self._loop.create_task(self._start(sock))
-        self._starting.add(task)
-        task.add_done_callback(self._starting.discard)
+        task = self._loop.create_task(self._start_protocol(sock))
+        self._start_tasks.add(task)
+        task.add_done_callback(self._start_tasks.discard)
         return True
 
-    async def _start(self, sock: RetryingSocket) -> None:
+    async def _start_protocol(self, sock: RetryingSocket) -> None:
         try:
             await self._loop.connect_accepted_socket(lambda: self._create_protocol(sock), sock)
         except Exception:
-            # Guards against a connection that is lost while it is accepted.
+            # The connection may have been lost while it was accepted.
             self._counters.add("accept.lost")
-            log.exception("an accepted connection could not be started")
+            log.exception("accepted connection could not be started")
             sock.close()
 
-    def _pause(self) -> None:
+    def _pause_accepting(self) -> None:
         if self._retry_timer is None:
             self._loop.remove_reader(self._sock)
-            self._retry_timer = self._loop.call_later(ACCEPT_RETRY_S, self._resume)
+            self._retry_timer = self._loop.call_later(ACCEPT_RETRY_S, self._resume_accepting)
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         self._retry_timer = None
-        self._loop.add_reader(self._sock, self._accept_some)
-        self._accept_some()
+        self._loop.add_reader(self._sock, self._accept_batch)
+        self._accept_batch()
 
     async def accept_all(self) -> None:
-        """Accept all connections that wait in the kernel now, and start their protocols."""
-        while self._sock.fileno() >= 0 and self._accept():
+        """Accept all connections that are waiting in the kernel now, and start their protocols."""
+        while self._sock.fileno() >= 0 and self._accept_one():
             pass
-        if self._starting:
-            await asyncio.wait(set(self._starting))
+        if self._start_tasks:
+            await asyncio.wait(set(self._start_tasks))
 
     def close(self) -> None:
-        """Stop accepting.
+        """Stop accepting connections.
 
-        Connections that wait in the kernel are reset, unless another process has the socket open too.
+        The kernel resets the connections that are waiting in it, unless another process has the socket open too.
         """
         if self._retry_timer is not None:
             self._retry_timer.cancel()
--- a/beechslip/platform/watch_events.py
+++ b/beechslip/platform/watch_events.py
@@ -1,4 +1,4 @@
-"""Parsing of the change log's events: server-sent events from bytes, and the updates that they carry."""
+"""Parse the change log's events: server-sent events from bytes, and the updates that they carry."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from beechslip.core.messages import EndpointListUpdate, PurgeReceived
 from beechslip.core.model import Backend
 
-MAX_EVENT = 4_000_000  # bytes of a line, and characters of an event's data
+MAX_EVENT_SIZE = 4_000_000  # bytes of a line, and characters of an event's data
 BYTE_ORDER_MARK = b"\xef\xbb\xbf"
 
-# The states of endpoints in the core's words.
-STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
+# The statuses of endpoints, each with the core's name for that state.
+STATE_BY_STATUS = {"active": "ready", "leaving": "draining", "left": "gone"}
 
 _LINE_END = re.compile(rb"\r\n|\n|\r")
 
-Update = EndpointListUpdate | PurgeReceived
+ChangeLogUpdate = EndpointListUpdate | PurgeReceived
 
 
 class BadEventError(Exception):
-    """An event of the change log that can't be read, or a stream that can't be followed on."""
+    """An event of the change log that is unreadable, or a stream that can't be continued."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,43 +40,43 @@
     """One event of the change log: its sequence number, and the updates that it carries, in order."""
 
     seq: int
-    updates: list[Update]
+    updates: list[ChangeLogUpdate]
 
 
 class KnownEvents(NamedTuple):
-    """The events that the configuration carries, up to the first one that can't be read."""
+    """The events that the configuration contains, up to the first unreadable one."""
 
-    last: int  # the sequence number up to which they were read
-    updates: list[Update]
-    error: str  # why reading has stopped; "" if all were read
+    last_seq: int  # the sequence number up to which they were read
+    updates: list[ChangeLogUpdate]
+    error: str  # why reading stopped; "" if all were read
 
 
 class EventStreamParser:
-    """Incremental parser of ``text/event-stream`` (WHATWG HTML, 9.2): lines end by LF, CR or both.
+    """Incremental parser of ``text/event-stream`` (WHATWG HTML, 9.2). Lines end with LF, CR or both.
 
     Comments yield no event but are counted in ``comments``.
     """
 
     def __init__(self) -> None:
-        """A parser for one stream, from its first byte on."""
+        """Create a parser for one stream, from its first byte on."""
         self.comments = 0
-        self._rest = b""  # of the last line, which is incomplete
+        self._partial_line = b""  # the last line, which is still incomplete
         self._id = ""
         self._data = list[str]()
-        self._size = 0  # of the data
-        self._at_start = True
-        self._after_cr = False
+        self._data_size = 0  # characters of the current event's data
+        self._is_at_start = True
+        self._is_after_cr = False
 
     def feed(self, chunk: bytes) -> list[ServerSentEvent]:
-        """The events that the bytes complete. Raises BadEventError where one exceeds MAX_EVENT."""
+        """Return the events that these bytes complete. Raises BadEventError if one exceeds MAX_EVENT_SIZE."""
         if not chunk:
             return []
-        if self._after_cr and chunk.startswith(b"\n"):  # the second half of a line's end
+        if self._is_after_cr and chunk.startswith(b"\n"):  # the second half of a line end
             chunk = chunk[1:]
-        self._after_cr = chunk.endswith(b"\r")
-        *lines, self._rest = _LINE_END.split(self._rest + chunk)
-        if len(self._rest) > MAX_EVENT:
-            raise BadEventError("a line is too long")
+        self._is_after_cr = chunk.endswith(b"\r")
+        *lines, self._partial_line = _LINE_END.split(self._partial_line + chunk)
+        if len(self._partial_line) > MAX_EVENT_SIZE:
+            raise BadEventError("a line of the event stream is too long")
         events = []
         for line in lines:
             event = self._read_line(line)
@@ -85,9 +85,9 @@
         return events
 
     def _read_line(self, raw: bytes) -> ServerSentEvent | None:
-        """The event that the line ends, if any."""
-        if self._at_start:
-            self._at_start = False
+        """Return the event that the line completes, or ``None``."""
+        if self._is_at_start:
+            self._is_at_start = False
             raw = raw.removeprefix(BYTE_ORDER_MARK)
         line = raw.decode("utf-8", "replace")
         if not line:
@@ -99,54 +99,54 @@
         elif name == "id":
             self._id = value
         elif name == "data":
-            self._size += len(value)
-            if self._size > MAX_EVENT:
-                raise BadEventError("an event is too long")
+            self._data_size += len(value)
+            if self._data_size > MAX_EVENT_SIZE:
+                raise BadEventError("the data of an event is too long")
             self._data.append(value)
         return None
 
     def _end_event(self) -> ServerSentEvent | None:
         event = ServerSentEvent(self._id, "\n".join(self._data)) if self._data else None
         self._data = []
-        self._size = 0
+        self._data_size = 0
         return event
 
 
 def parse_endpoint(entry: Any) -> Backend:
-    """A backend from its entry in the list of endpoints; raises BadEventError."""
+    """Return a backend from its entry in the endpoint list. Raises BadEventError."""
     if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
-        raise BadEventError("an endpoint without a name")
-    state = STATES.get(str(entry.get("status")))
+        raise BadEventError("an endpoint has no name")
+    state = STATE_BY_STATUS.get(str(entry.get("status")))
     address = entry.get("address")
     if state is None or (not isinstance(address, str) and state != "gone"):
-        raise BadEventError(f"endpoint {entry['name']!r:.60} can't be read")
+        raise BadEventError(f"endpoint {entry['name']!r:.60} has an invalid status or address")
     return Backend(
         name=entry["name"],
         address=str(address or ""),
         kind=str(entry.get("type", "")),
         zone=str(entry.get("zone", "")),
         state=state,
-        weight=_number(entry, "weight"),
-        cell=int(_number(entry, "group")),
-        started_ms=_number(entry, "since_ms"),
+        weight=_parse_number(entry, "weight"),
+        cell=int(_parse_number(entry, "group")),
+        started_ms=_parse_number(entry, "since_ms"),
     )
 
 
-def _number(entry: Mapping[str, Any], name: str) -> float:
+def _parse_number(entry: Mapping[str, Any], name: str) -> float:
     value = entry.get(name, 0)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-        raise BadEventError(f"{name} is no number")
+        raise BadEventError(f"invalid value of {name}: expected a finite number")
     return float(value)
 
 
-def parse_change(value: Any, known: bool = False) -> ChangeEvent:
-    """An event of the change log from its JSON value; ``known``: from the configuration.
+def parse_change_event(value: Any, known: bool = False) -> ChangeEvent:
+    """Return an event of the change log from its JSON value. ``known`` means that it is from the configuration.
 
     Raises BadEventError.
     """
     if not isinstance(value, dict) or not isinstance(value.get("seq"), int):
-        raise BadEventError("an event without a number")
-    updates: list[Update] = []
+        raise BadEventError("an event has no sequence number: expected an integer 'seq'")
+    updates: list[ChangeLogUpdate] = []
     fleet = value.get("fleet")
     purge = value.get("invalidate")
     if isinstance(fleet, dict):
@@ -159,7 +159,7 @@
 def _parse_endpoint_list(fleet: Mapping[str, Any], known: bool) -> EndpointListUpdate:
     endpoints = fleet.get("endpoints")
     if not isinstance(endpoints, list):
-        raise BadEventError("a list without endpoints")
+        raise BadEventError("an endpoint list without endpoints: expected a list 'endpoints'")
     backends = tuple(parse_endpoint(entry) for entry in endpoints)
     if fleet.get("snapshot") is not True:
         return EndpointListUpdate("changes", backends)
@@ -169,32 +169,32 @@
 def _parse_purge(purge: Mapping[str, Any]) -> PurgeReceived:
     name = purge.get("object") or ""
     if not isinstance(name, str) or not (name or "bucket" in purge):
-        raise BadEventError("a purge of nothing")
-    return PurgeReceived(name, int(_number(purge, "bucket")), _number(purge, "time"))
+        raise BadEventError("a purge of nothing: expected 'object' or 'bucket'")
+    return PurgeReceived(name, int(_parse_number(purge, "bucket")), _parse_number(purge, "time"))
 
 
-def parse_event(event: ServerSentEvent) -> ChangeEvent:
-    """An event of the change log as it was received; raises BadEventError."""
+def parse_server_sent_event(event: ServerSentEvent) -> ChangeEvent:
+    """Return an event of the change log as it was received. Raises BadEventError."""
     try:
-        return parse_change(orjson.loads(event.data))
+        return parse_change_event(orjson.loads(event.data))
     except ValueError as error:
         raise BadEventError(str(error)) from None
 
 
 def parse_known_events(known: Mapping[str, Any]) -> KnownEvents:
-    """The events of ``{"seq":LAST,"results":[...]}`` in the configuration, in order.
+    """Return the events of ``{"seq":LAST,"results":[...]}`` in the configuration, in order.
 
-    It stops at the first event that can't be read: those from there on are requested from the change log.
+    Reading stops at the first unreadable event. That event and later ones are requested from the change log.
     """
     results = known.get("results")
-    updates = list[Update]()
-    last = 0
+    updates = list[ChangeLogUpdate]()
+    last_seq = 0
     for value in results if isinstance(results, list) else []:
         try:
-            event = parse_change(value, known=True)
+            event = parse_change_event(value, known=True)
         except BadEventError as error:
-            return KnownEvents(last, updates, str(error))
-        last = max(last, event.seq)
+            return KnownEvents(last_seq, updates, str(error))
+        last_seq = max(last_seq, event.seq)
         updates += event.updates
     seq = known.get("seq")
-    return KnownEvents(max(last, seq if isinstance(seq, int) else 0), updates, "")
+    return KnownEvents(max(last_seq, seq if isinstance(seq, int) else 0), updates, "")
--- a/beechslip/proxy.py
+++ b/beechslip/proxy.py
@@ -18,7 +18,7 @@
 from beechslip.counters import Counters
 from beechslip.fleet.settings import read_fleet, refuse_old
 from beechslip.platform.backends import BackendClient
-from beechslip.platform.changelog import ChangeLog
+from beechslip.platform.changelog import ChangeLogReader
 from beechslip.platform.front import HttpFront
 from beechslip.platform.ops import OpsFront
 from beechslip.platform.watch_events import parse_known_events
@@ -156,7 +156,7 @@
 
         def may_answer() -> bool:
             # A draining proxy hands out no backend either: its resolvers go to another proxy.
-            return engine.listed.is_set() and not front.diverting
+            return engine.listed.is_set() and not front.is_diverting
 
         return DnsFront(self.config.dns, self.config.settings, self.clock, may_answer, engine.post, self.counters)
 
@@ -218,12 +218,12 @@
         if self.config.changelog is not None:
             tasks.append(asyncio.create_task(self._change_log(components.engine, known).run()))
 
-    def _change_log(self, engine: Engine, known: KnownEvents) -> ChangeLog:
+    def _change_log(self, engine: Engine, known: KnownEvents) -> ChangeLogReader:
         """The reader of the change log, at the address in force: SIGHUP may have named another one by now."""
         address = self._reloader.config.changelog or self.config.changelog
         assert address is not None
         drain_grace_s = self._reloader.settings.drain_grace
-        change_log = ChangeLog(address, known.last, engine.post, self.counters, known.updates, drain_grace_s)
+        change_log = ChangeLogReader(address, known.last, engine.post, self.counters, known.updates, drain_grace_s)
         self._reloader.change_log = change_log
         self._reloader.listeners.append(change_log.retune)
         return change_log
@@ -261,7 +261,7 @@
         await self._run_until_stopping(tasks)
         log.info("%s, process %d, is shutting down", config.name, os.getpid())
         if config.fd is not None:
-            front.hand_over()
+            front.stop_accepting()
         await shut_down(engine, front, self._reloader.settings)
         log.info("%s, process %d, has answered all requests, and exits", config.name, os.getpid())
 
--- a/beechslip/reload.py
+++ b/beechslip/reload.py
@@ -13,7 +13,7 @@
 from beechslip.core.settings_transition import TRANSITION_MS, stricter_of_both
 from beechslip.counters import Counters
 from beechslip.fleet.settings import FLEET_FILE, read_fleet
-from beechslip.platform.changelog import ChangeLog
+from beechslip.platform.changelog import ChangeLogReader
 from beechslip.routing.interface import Settings
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
         self.config = config
         self.settings = config.settings  # those in force: old and new ones at once during a transition
         self.listeners: list[Callable[[Settings], None]] = []  # called with the settings in force, at each change
-        self.change_log: ChangeLog | None = None  # follows the address that the file names
+        self.change_log: ChangeLogReader | None = None  # follows the address that the file names
         self.peering: Peering | None = None
         self._clock = clock
         self._counters = counters
@@ -73,7 +73,7 @@
         self._change_settings(config.settings)
         if self.change_log is not None and config.changelog is not None:
             self.change_log.set_address(config.changelog)
-            log.info("the change log is at %s, read up to %d", config.changelog, self.change_log.last)
+            log.info("the change log is at %s, read up to %d", config.changelog, self.change_log.last_seq)
 
     def _reject(self, error: ConfigError) -> None:
         self._counters.add("reloads.refused")
--- a/beechslip/shutdown.py
+++ b/beechslip/shutdown.py
@@ -47,4 +47,4 @@
         log.info("some requests are open still: they are ended before SIGKILL may come")
         engine.post(Shutdown())
         await engine.quiet.wait()
-    await front.settle(max(kill_s - FINAL_BYTES_S - loop.time(), FINAL_BYTES_S) * 1000.0)
+    await front.finish_pending_work(max(kill_s - FINAL_BYTES_S - loop.time(), FINAL_BYTES_S) * 1000.0)
--- a/lab/check.py
+++ b/lab/check.py
@@ -1,6 +1,6 @@
 """Checkers of histories: what must hold at every instant, whatever the faults were.
 
-A history is a list of events (dicts, as :class:`beechslip.platform.history.History` writes them, or as the
+A history is a list of events (dicts, as :class:`beechslip.platform.history.HistoryFile` writes them, or as the
 virtual fleet notes them) on one clock. A checker reads them in the order of time and names each violation. It
 counts as a checker only because :mod:`lab.mutants` breaks the program in known ways and it is shown to find
 each (``tests/test_leases.py``, ``tests/test_lab.py``).
